--- a/rhubarbbend/core/owners/__init__.py
+++ b/rhubarbbend/core/owners/__init__.py
@@ -1,5 +1,5 @@
-"""Owners of targets: who grants slots, from which limit, and in which order.
+"""Ownership of targets: who grants request slots, up to which limit and in which order.
 
-`_owner` is the duty; the others are its parts. Nothing is imported here, because duties of
-different folders know one another's types.
+`_owner` holds the component that the core registers; the other modules are its parts. Nothing is
+imported here, because components of different folders import one another's types.
 """
--- a/rhubarbbend/core/owners/_books.py
+++ b/rhubarbbend/core/owners/_books.py
@@ -1,4 +1,4 @@
-"""The books of one owned target: its slots, its queue, and what its reports show beyond them."""
+"""The state that the owner keeps of one target: slots, queue, limits and the last load report."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 from rhubarbbend.core.configuration import Service
 from rhubarbbend.core.messages import HeldSlot, SlotRelease
 from rhubarbbend.core.owners._queue import FairQueue
-from rhubarbbend.core.owners._ramp import ColdRamp, Probation
+from rhubarbbend.core.owners._ramp import Probation, SlowStart
 
-# First bytes this many times slower than usual, in a row, say that a target has turned cold.
+# A target is taken as cold after CONSECUTIVE_SLOW_LIMIT first bytes in a row that each took more
+# than SLOW_FACTOR times the expected time plus SLOW_MARGIN_S.
 SLOW_FACTOR: Final = 4.0
-SLOW_MARGIN: Final = 0.25
-SLOW_IN_A_ROW: Final = 3
-# So many attempts failed at the target, with none that ended well between, say the same.
-FAILED_IN_A_ROW: Final = 2
-AVERAGE_WEIGHT: Final = 0.1
-MAX_SAMPLES: Final = 512
+SLOW_MARGIN_S: Final = 0.25
+CONSECUTIVE_SLOW_LIMIT: Final = 3
+# A target is also taken as cold after this many attempts failed at it with no completed attempt in
+# between.
+CONSECUTIVE_FAILURE_LIMIT: Final = 2
+# Weight of a new sample in the moving averages of the baseline and the request duration.
+SMOOTHING_FACTOR: Final = 0.1
+MAX_SLOT_SAMPLES: Final = 512
 
 
 @attrs.define(slots=True)
 class Slot:
-    """A granted slot; `renewed` is when its holder last confirmed it."""
+    """A granted slot; `since` is the time of the grant, `renewed` that of the last confirmation."""
 
     attempt: str
     holder: str
@@ -36,173 +39,185 @@
     suspect: bool
 
 
-class ColdWatch:
-    """Notices a target that has turned cold under the same boot id.
+class ColdDetector:
+    """Detects a target that has turned cold without a new boot id.
 
-    Such a target still takes work, slowly, and falls over under a full load. Its first bytes are
-    compared with its own usual ones, less the time that reading the prompt may take, so that a
-    few long prompts do not look like a cold target.
+    A cold target still accepts work but serves it slowly, and it fails under full load. The
+    detector compares the time to first byte with the target's own baseline. The expected time to
+    read the prompt is left out of the baseline and allowed in addition to it, so that a few long
+    prompts do not look like a cold target.
     """
 
     def __init__(self) -> None:
-        self._usual = -1.0
-        self._slow = 0
-        self._failed = 0
-
-    def take_first_byte(self, first_byte: float, prefill: float) -> bool:
-        """Judge the first byte of an attempt that ended well; True if the target is cold."""
-        self._failed = 0
-        beyond = max(0.0, first_byte - prefill)
-        if self._usual < 0:
-            self._usual = beyond
-        if first_byte > SLOW_FACTOR * (self._usual + prefill) + SLOW_MARGIN:
-            self._slow += 1
-            return self._slow >= SLOW_IN_A_ROW
-        self._slow = 0
-        self._usual += AVERAGE_WEIGHT * (beyond - self._usual)
+        self._baseline = -1.0
+        self._consecutive_slow = 0
+        self._consecutive_failures = 0
+
+    def record_first_byte(self, first_byte: float, prefill_time: float) -> bool:
+        """Record the time to first byte of a completed attempt; return whether the target is cold.
+
+        Both times are in seconds; `prefill_time` is the expected time to read the prompt.
+        """
+        self._consecutive_failures = 0
+        excess = max(0.0, first_byte - prefill_time)
+        if self._baseline < 0:
+            self._baseline = excess
+        if first_byte > SLOW_FACTOR * (self._baseline + prefill_time) + SLOW_MARGIN_S:
+            self._consecutive_slow += 1
+            return self._consecutive_slow >= CONSECUTIVE_SLOW_LIMIT
+        self._consecutive_slow = 0
+        self._baseline += SMOOTHING_FACTOR * (excess - self._baseline)
         return False
 
-    def take_failure(self) -> bool:
-        """Count an attempt that failed at the target; True if the target is taken as cold."""
-        self._failed += 1
-        return self._failed >= FAILED_IN_A_ROW
+    def record_failure(self) -> bool:
+        """Record an attempt that failed at the target; return whether the target counts as cold."""
+        self._consecutive_failures += 1
+        return self._consecutive_failures >= CONSECUTIVE_FAILURE_LIMIT
 
 
 class Books:
-    """What an owner knows of one target.
+    """The owner's state of one target.
 
-    Invariants: `slots` holds every grant not yet given back; `unsettled` holds what was given
-    back, or lost with its holder, and which the target may still run, until a report made later
-    tells; the load is the sum of both and of what reports show beyond them.
+    Invariants: `slots` holds every grant that has not been released. `in_doubt` maps attempts that
+    the target may still run, although their slot was released or their holder was lost, to the time
+    of the release or loss; a report made after that time removes them. The load is the number of
+    both plus the foreign load: requests that reports show but this owner did not grant.
     """
 
     def __init__(self, target: str, service: Service, now: float) -> None:
         self.target = target
-        self.taken_at = now
+        self.taken_over_at = now
         self.slots: dict[str, Slot] = {}
-        self.unsettled: dict[str, float] = {}
+        self.in_doubt: dict[str, float] = {}
         self.queue = FairQueue(service.max_queue)
-        self.ramp = ColdRamp(service.cold_slots, service.cold_requests, now)
+        self.slow_start = SlowStart(service.cold_slots, service.cold_requests, now)
         self.probation = Probation(service.cold_slots)
-        self.watch = ColdWatch()
+        self.cold_detector = ColdDetector()
         self.boot_id = ""
         self.ready = False
         self.out_of_service = False
-        self.report_at = -1.0
-        self.foreign = 0
-        self.own_limit = 0
-        self.duration = 0.0
-        self._made_at = -1.0
-        self._samples: deque[tuple[float, int]] = deque(maxlen=MAX_SAMPLES)
+        self.last_report_at = -1.0
+        self.foreign_load = 0
+        self.reported_limit = 0
+        self.mean_duration = 0.0
+        self._last_report_made_at = -1.0
+        self._slot_samples: deque[tuple[float, int]] = deque(maxlen=MAX_SLOT_SAMPLES)
 
     def count_load(self) -> int:
-        """Load in requests: own slots, those in doubt, and what reports show beyond them."""
-        return len(self.slots) + len(self.unsettled) + self.foreign
+        """Return the load in requests: granted slots, attempts in doubt and foreign load."""
+        return len(self.slots) + len(self.in_doubt) + self.foreign_load
 
     def has_suspect(self) -> bool:
-        """Whether a request that was at a crash runs on the target."""
+        """Return whether a request that was running when a target crashed runs on this target."""
         return any(slot.suspect for slot in self.slots.values())
 
-    def compute_limit(self, service: Service, load: int, count: int) -> int:
-        """Give the most load the target may have.
+    def compute_limit(self, service: Service, total_load: int, target_count: int) -> int:
+        """Return the maximum load in requests that the target may have.
 
-        `load` and `count` are those of the service's ready targets, this one included. The mean
-        counts the request that asks, so that a fleet at its bound can still grow.
+        `total_load` and `target_count` cover the ready targets of the service, including this one.
+        The mean includes the request that is being decided on, so that a fleet at its bound can
+        still grow.
         """
-        mean = (load + 1) / max(1, count)
+        mean = (total_load + 1) / max(1, target_count)
         limit = max(service.floor, math.ceil(service.bound * mean))
-        if self.own_limit:
-            limit = min(limit, self.own_limit)
-        if self.ramp.cold:
-            limit = min(limit, self.ramp.allowed)
+        if self.reported_limit:
+            limit = min(limit, self.reported_limit)
+        if self.slow_start.is_cold:
+            limit = min(limit, self.slow_start.limit)
         return limit
 
-    def add(self, slot: Slot, now: float) -> None:
-        """Enter a grant."""
+    def add_slot(self, slot: Slot, now: float) -> None:
+        """Add a granted slot."""
         self.slots[slot.attempt] = slot
-        self.probation.note_grant(slot.attempt, now)
-        self.note_slots(now)
+        self.probation.record_grant(slot.attempt, now)
+        self.record_slot_count(now)
 
-    def register(self, held: HeldSlot, holder: str, incarnation: int, now: float) -> bool:
-        """Enter a slot that another owner granted, or renew it; True if it was not known."""
+    def register_slot(self, held: HeldSlot, holder: str, incarnation: int, now: float) -> bool:
+        """Add a slot that another owner granted, or renew it; return whether it was unknown."""
         slot = self.slots.get(held.attempt)
         if slot is not None:
             slot.renewed = now
             return False
-        if self.unsettled.pop(held.attempt, None) is None:
-            # What a report showed as load of others is now counted by name.
-            self.foreign = max(0, self.foreign - 1)
+        if self.in_doubt.pop(held.attempt, None) is None:
+            # Reports showed this request as foreign load; it must not be counted twice.
+            self.foreign_load = max(0, self.foreign_load - 1)
         self.slots[held.attempt] = Slot(
             held.attempt, holder, incarnation, held.account, now, now, held.suspect
         )
-        self.note_slots(now)
+        self.record_slot_count(now)
         return True
 
-    def release(self, message: SlotRelease, now: float) -> Slot | None:
-        """Take a slot back.
+    def release_slot(self, message: SlotRelease, now: float) -> Slot | None:
+        """Release the slot of an attempt and return it, or None if it was not held.
 
-        An attempt that did not run to its end may go on at the target for a while: its connection
-        was cut, or its caller left. It stays part of the load until a report tells.
+        An attempt that did not complete may go on running at the target for a while, because its
+        connection was cut or its caller left. It stays part of the load, in doubt, until a later
+        report.
         """
         slot = self.slots.pop(message.attempt, None)
         if message.completed:
-            self.unsettled.pop(message.attempt, None)
+            self.in_doubt.pop(message.attempt, None)
         elif slot is not None and message.sent:
-            self.unsettled[message.attempt] = now
-        self.probation.note_end(message.attempt)
+            self.in_doubt[message.attempt] = now
+        self.probation.record_release(message.attempt)
         if slot is not None:
             if message.completed:
-                self._note_duration(now - slot.since)
-            self.note_slots(now)
+                self._record_duration(now - slot.since)
+            self.record_slot_count(now)
         return slot
 
-    def doubt(self, slot: Slot, now: float) -> None:
-        """Take back a slot whose holder is gone or does not know of it any more."""
+    def mark_in_doubt(self, slot: Slot, now: float) -> None:
+        """Release a slot that its holder no longer confirms; keep its attempt in doubt."""
         del self.slots[slot.attempt]
-        self.probation.note_end(slot.attempt)
-        self.unsettled[slot.attempt] = now
-        self.note_slots(now)
+        self.probation.record_release(slot.attempt)
+        self.in_doubt[slot.attempt] = now
+        self.record_slot_count(now)
 
-    def note_slots(self, now: float) -> None:
-        """Remember how many slots were out, to compare a late report with its own time."""
-        self._samples.append((now, len(self.slots)))
+    def record_slot_count(self, now: float) -> None:
+        """Record the current number of slots, for comparison with reports that arrive later."""
+        self._slot_samples.append((now, len(self.slots)))
 
     def take_report(self, running: int, age: float, now: float) -> None:
-        """Work out what runs on the target that is not counted here.
-
-        A report lags. Compared with the slots of the present, it would show load of others after
-        each burst of releases and hide it after each burst of grants; it is compared with the
-        slots that were out at its own time. A request ends at the target before its slot comes
-        back, so what runs of the own slots is never more than those.
+        """Update the foreign load from a load report.
+
+        `running` is the number of requests that the target ran, `age` the seconds since the report
+        was made. Reports lag: compared with the current slots, a report would show foreign load
+        after each burst of releases and hide it after each burst of grants. It is therefore
+        compared with the number of slots at the time when it was made. A request ends at the target
+        before its slot is released, so the target never runs more of this owner's requests than
+        that number.
         """
         made_at = now - age
-        if made_at < self._made_at:
+        if made_at < self._last_report_made_at:
             return
-        self._made_at = made_at
-        self.report_at = now
-        for attempt, since in list(self.unsettled.items()):
-            # One given back later than this was still a slot at the report's time.
+        self._last_report_made_at = made_at
+        self.last_report_at = now
+        for attempt, since in list(self.in_doubt.items()):
+            # An attempt released after the report was made still held a slot at that time.
             if since < made_at:
-                del self.unsettled[attempt]
-        self.foreign = max(0, running - self._count_slots(made_at))
-        if made_at >= self.taken_at:
-            self.probation.take_report(made_at, self.foreign)
+                del self.in_doubt[attempt]
+        self.foreign_load = max(0, running - self._find_slot_count(made_at))
+        if made_at >= self.taken_over_at:
+            self.probation.record_report(made_at, self.foreign_load)
+
+    def estimate_first_completion(self, now: float) -> float:
+        """Return the seconds until the longest-running request is expected to complete.
 
-    def estimate_first_end(self, now: float) -> float:
-        """Give the seconds until the request that has run longest has run as long as is usual."""
+        The estimate is the mean duration minus the time that this request has run, and at least 0.
+        """
         longest = max((now - slot.since for slot in self.slots.values()), default=0.0)
-        return max(0.0, self.duration - longest)
+        return max(0.0, self.mean_duration - longest)
 
-    def _count_slots(self, at: float) -> int:
-        """Give how many slots were out at a time."""
+    def _find_slot_count(self, at: float) -> int:
+        """Return the number of slots at a past time."""
         count = 0
-        for noted, slots in self._samples:
-            if noted > at:
+        for recorded_at, slots in self._slot_samples:
+            if recorded_at > at:
                 break
             count = slots
         return count
 
-    def _note_duration(self, seconds: float) -> None:
-        if not self.duration:
-            self.duration = seconds
-        self.duration += AVERAGE_WEIGHT * (seconds - self.duration)
+    def _record_duration(self, seconds: float) -> None:
+        if not self.mean_duration:
+            self.mean_duration = seconds
+        self.mean_duration += SMOOTHING_FACTOR * (seconds - self.mean_duration)
--- a/rhubarbbend/core/owners/_ledger.py
+++ b/rhubarbbend/core/owners/_ledger.py
@@ -1,4 +1,4 @@
-"""The books of all owned targets, and what follows from them for the views and the mean."""
+"""Registry of all owned targets, which keeps the fleet's views and load sums up to date."""
 
 from __future__ import annotations
 
@@ -6,100 +6,107 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core.configuration import Service
 from rhubarbbend.core.messages import TargetLoad
-from rhubarbbend.core.owners._books import Books, ColdWatch, Slot
-from rhubarbbend.core.owners._ramp import ColdRamp
+from rhubarbbend.core.owners._books import Books, ColdDetector, Slot
+from rhubarbbend.core.owners._ramp import SlowStart
 
 
-class Ledger:
-    """Books by target. Invariant: the view of an owned target shows what its books say."""
+class OwnedTargetRegistry:
+    """Owned targets by id. Invariant: the fleet's view of each matches its state here."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self.books: dict[str, Books] = {}
+        self.owned_targets: dict[str, Books] = {}
 
     def find(self, target: str) -> Books | None:
-        """Find the books of a target, if it is owned."""
-        return self.books.get(target)
+        """Return the state of a target, or None if this instance does not own it."""
+        return self.owned_targets.get(target)
 
-    def find_service(self, books: Books) -> Service | None:
-        """Find the declaration of a target's service."""
-        view = self._context.fleet.targets.get(books.target)
+    def find_service(self, owned_target: Books) -> Service | None:
+        """Return the declaration of the target's service, or None if it is not known."""
+        view = self._context.fleet.targets.get(owned_target.target)
         if view is None:
             return None
         return self._context.configuration.services.get(view.service_name)
 
-    def compute_limit(self, books: Books) -> int:
-        """Give the most load a target may have: the bound, its own limit, the cold ramp."""
-        service = self.find_service(books)
+    def compute_limit(self, owned_target: Books) -> int:
+        """Return the maximum load in requests that a target may have.
+
+        It is the smallest of the service's load bound, the target's reported limit and the limit of
+        its slow start.
+        """
+        service = self.find_service(owned_target)
         if service is None:
             return 0
-        load, count = self._context.fleet.compute_mean(service, self._context.configuration)
-        if not self._context.fleet.is_counted(books.target):
-            load += books.count_load()
-            count += 1
-        return books.compute_limit(service, load, count)
+        total_load, target_count = self._context.fleet.compute_mean(
+            service, self._context.configuration
+        )
+        if not self._context.fleet.is_counted(owned_target.target):
+            total_load += owned_target.count_load()
+            target_count += 1
+        return owned_target.compute_limit(service, total_load, target_count)
 
-    def update(self, books: Books, now: float) -> None:
-        """Bring a target's view in line with its books; called after each change of them."""
-        books.note_slots(now)
-        view = self._context.fleet.targets.get(books.target)
+    def update_view(self, owned_target: Books, now: float) -> None:
+        """Update the fleet's view of a target; called after each change of the target's state."""
+        owned_target.record_slot_count(now)
+        view = self._context.fleet.targets.get(owned_target.target)
         if view is None:
             return
-        view.load = books.count_load()
-        view.ready = books.ready
-        view.boot_id = books.boot_id
-        view.cold = books.ramp.cold
+        view.load = owned_target.count_load()
+        view.ready = owned_target.ready
+        view.boot_id = owned_target.boot_id
+        view.cold = owned_target.slow_start.is_cold
         view.updated = now
         self._context.fleet.note_target(view, self._context.configuration)
-        view.limit = self.compute_limit(books)
+        view.limit = self.compute_limit(owned_target)
 
-    def describe(self, books: Books) -> TargetLoad:
-        """Describe a target for the zone's other instances."""
-        view = self._context.fleet.targets.get(books.target)
+    def make_target_load(self, owned_target: Books) -> TargetLoad:
+        """Return the load message of a target for the other instances of the zone."""
+        view = self._context.fleet.targets.get(owned_target.target)
         return TargetLoad(
-            target=books.target,
-            boot_id=books.boot_id,
-            load=books.count_load(),
-            limit=self.compute_limit(books),
-            ready=books.ready,
-            cold=books.ramp.cold,
+            target=owned_target.target,
+            boot_id=owned_target.boot_id,
+            load=owned_target.count_load(),
+            limit=self.compute_limit(owned_target),
+            ready=owned_target.ready,
+            cold=owned_target.slow_start.is_cold,
             service_name="" if view is None else view.service_name,
             models=[] if view is None else view.models,
         )
 
-    def doubt(self, books: Books, slot: Slot, now: float) -> None:
-        """Take back a slot whose holder does not answer for it any more."""
-        books.doubt(slot, now)
+    def mark_in_doubt(self, owned_target: Books, slot: Slot, now: float) -> None:
+        """Release a slot that its holder no longer confirms; keep its attempt in doubt."""
+        owned_target.mark_in_doubt(slot, now)
         self._context.count(codes.SLOTS_EXPIRED)
         self._context.log(
-            "slot_in_doubt", target=books.target, attempt=slot.attempt, holder=slot.holder
+            "slot_in_doubt", target=owned_target.target, attempt=slot.attempt, holder=slot.holder
         )
 
-    def turn_cold(self, books: Books, cause: str, now: float) -> None:
-        """Start a target's ramp afresh."""
-        service = self.find_service(books)
+    def mark_cold(self, owned_target: Books, cause: str, now: float) -> None:
+        """Mark a target as cold: restart its slow start."""
+        service = self.find_service(owned_target)
         if service is None:
             return
-        books.ramp = ColdRamp(service.cold_slots, service.cold_requests, now)
-        books.watch = ColdWatch()
+        owned_target.slow_start = SlowStart(service.cold_slots, service.cold_requests, now)
+        owned_target.cold_detector = ColdDetector()
         self._context.count(codes.COLD_STARTS)
-        self._context.log("target_cold", target=books.target, cause=cause)
+        self._context.log("target_cold", target=owned_target.target, cause=cause)
 
-    def free_holder(self, holder: str, incarnation: int, now: float) -> None:
-        """Take back the slots of an instance that is silent, or of its incarnations before one.
+    def expire_holder_slots(self, holder: str, incarnation: int, now: float) -> None:
+        """Mark the slots of a holder's incarnations before `incarnation` as in doubt.
 
-        Kept until their lease ends, the slots of a holder that died would lower the capacity of
-        its targets for that long. Forgotten at once, they would be granted twice: the holder may
-        only be cut off, and its targets go on with what they run. So they stay part of the load
-        until a later report tells what is left of them.
+        This is called for an instance that is silent or has restarted. If the slots of a dead
+        holder were kept until their lease ends, they would lower the capacity of its targets for
+        that long. If they were dropped at once, they would be granted a second time, because the
+        holder may only be cut off and its targets still run its requests. They therefore stay part
+        of the load until a later report shows which of them are still running.
         """
-        for books in self.books.values():
+        for owned_target in self.owned_targets.values():
             held = [
                 slot
-                for slot in books.slots.values()
+                for slot in owned_target.slots.values()
                 if slot.holder == holder and slot.incarnation < incarnation
             ]
             for slot in held:
-                self.doubt(books, slot, now)
+                self.mark_in_doubt(owned_target, slot, now)
             if held:
-                self.update(books, now)
+                self.update_view(owned_target, now)
--- a/rhubarbbend/core/owners/_owner.py
+++ b/rhubarbbend/core/owners/_owner.py
@@ -1,9 +1,9 @@
-"""The owner duty: which targets this instance owns, their hand-over and their reports.
+"""The owner component: which targets this instance owns, their handover and their load reports.
 
-One owner counts each target, so that the bound on its load is exact without any agreement while
-the instances' lists agree. Where they do not, two instances believe that they own a target; each
-sees the other's slots as load of others in the target's report, and the newer one is on probation
-until reports show none.
+Each target's load is counted by one owner, so that the bound on it is exact without a consensus
+protocol while the instances' lists agree. When the lists differ, two instances may believe that
+they own the same target. Each then sees the other's slots as foreign load in the target's reports,
+and the newer owner is on probation until the reports show no foreign load.
 """
 
 from __future__ import annotations
@@ -23,87 +23,95 @@
     TargetLoad,
 )
 from rhubarbbend.core.owners._books import Books
-from rhubarbbend.core.owners._grants import REFUSAL_NOT_OWNER, REFUSAL_NOT_READY, Granter
-from rhubarbbend.core.owners._ledger import Ledger
+from rhubarbbend.core.owners._grants import REFUSAL_NOT_OWNER, REFUSAL_NOT_READY, SlotGranter
+from rhubarbbend.core.owners._ledger import OwnedTargetRegistry
 from rhubarbbend.core.owners._ramp import Probation
 
 STATE_LOADING: Final = "loading"
 STATE_LEAVING: Final = "leaving"
 
-# A pause this much shorter than the silence that peers allow may have cost the ownership: the
-# last heartbeat went out up to an interval before it began.
-PAUSE_SHARE: Final = 0.5
+# A pause of the process counts as a possible loss of ownership when it lasts this fraction of the
+# silence that peers allow. It is below 1 because the last heartbeat may have been sent up to a full
+# interval before the pause began.
+PAUSE_FRACTION: Final = 0.5
 
 
 class OwnerDuty:
-    """Owns targets. Invariant: the ledger has books for the owned targets and no others."""
+    """Owns targets. Invariant: the registry holds exactly the owned targets."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._ledger = Ledger(context)
-        self._granter = Granter(context, self._ledger)
+        self._registry = OwnedTargetRegistry(context)
+        self._granter = SlotGranter(context, self._registry)
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle the start, load reports and pauses of the process."""
+        """Return the handlers of start, load reports, process pauses and lost peers."""
         return {
-            events.Started: self._start,
+            events.Started: self._handle_start,
             events.ReportRead: self._handle_report,
             events.ReportFailed: self._handle_report_failure,
             events.ProcessPaused: self._handle_pause,
-            events.PeerLost: self._handle_lost,
+            events.PeerLost: self._handle_peer_lost,
         }
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle slot traffic and the hand-over by a former owner."""
+        """Return the handlers of slot messages and of the handover by a former owner."""
         return {
             **self._granter.list_messages(),
             Handover: self._handle_handover,
         }
 
     def list_loads(self) -> list[TargetLoad]:
-        """List the load of each owned target for the heartbeat."""
-        return [self._ledger.describe(books) for books in self._ledger.books.values()]
+        """Return the load of each owned target for the heartbeat."""
+        return [
+            self._registry.make_target_load(owned_target)
+            for owned_target in self._registry.owned_targets.values()
+        ]
 
     def list_figures(self, service_name: str) -> list[LoadFigure]:
-        """List the loads of the owned targets of a service."""
+        """Return the load figures of the owned targets of a service."""
         targets = self._context.fleet.targets
         return [
-            LoadFigure(target=books.target, load=books.count_load())
-            for books in self._ledger.books.values()
-            if books.target in targets and targets[books.target].service_name == service_name
+            LoadFigure(target=owned_target.target, load=owned_target.count_load())
+            for owned_target in self._registry.owned_targets.values()
+            if owned_target.target in targets
+            and targets[owned_target.target].service_name == service_name
         ]
 
     def list_owned(self) -> list[str]:
-        """List the owned targets."""
-        return list(self._ledger.books)
+        """Return the ids of the owned targets."""
+        return list(self._registry.owned_targets)
 
     def owns(self, target: str) -> bool:
-        """Whether this instance takes itself for the owner of a target."""
-        return target in self._ledger.books
+        """Return whether this instance regards itself as the owner of a target."""
+        return target in self._registry.owned_targets
 
     def free_holder(self, holder: str, incarnation: int, now: float) -> None:
-        """Take back the slots of an instance's incarnations before the one given."""
-        self._ledger.free_holder(holder, incarnation, now)
+        """Mark the slots of an instance's incarnations before the given one as in doubt."""
+        self._registry.expire_holder_slots(holder, incarnation, now)
 
     def refresh_ownership(self, now: float) -> None:
-        """Take over targets that have become this instance's, give up those that have not."""
+        """Take over targets that this instance now owns; release those that it no longer owns."""
         context = self._context
         for view in list(context.fleet.targets.values()):
-            mine = self._may_own(view, now)
-            if mine and view.id not in self._ledger.books:
+            is_owner = self._can_own(view, now)
+            if is_owner and view.id not in self._registry.owned_targets:
                 self._take_over(view, now)
-            elif not mine and view.id in self._ledger.books:
-                self._give_up(view.id, now)
-        for target in [name for name in self._ledger.books if name not in context.fleet.targets]:
-            self._give_up(target, now)
-
-    def _may_own(self, view: TargetView, now: float) -> bool:
-        """Whether a target is this instance's to grant.
-
-        To an instance that is cut off, all others look gone, and it comes to own their zones'
-        targets. Operators may have taken such a zone out since, which it cannot know: its targets
-        got work for as long as the cut lasted. Its own zone's targets it serves on; those of other
-        zones only while the table service answers.
+            elif not is_owner and view.id in self._registry.owned_targets:
+                self._release_ownership(view.id, now)
+        for target in [
+            name for name in self._registry.owned_targets if name not in context.fleet.targets
+        ]:
+            self._release_ownership(target, now)
+
+    def _can_own(self, view: TargetView, now: float) -> bool:
+        """Return whether this instance may own a target and grant its slots.
+
+        To an instance that is cut off, all others look dead, so it becomes the owner of targets of
+        their zones too. Operators may have taken such a zone out of service since, which it cannot
+        know, and the zone's targets would receive work for as long as the partition lasts. It
+        therefore keeps the targets of its own zone, and those of other zones only while the table
+        service answers.
         """
         if self._context.fleet.find_owner(view) != self._context.identity.instance:
             return False
@@ -111,138 +119,146 @@
         return is_own_zone or not self._context.is_out_of_touch(now)
 
     def hand_over_all(self, now: float) -> None:
-        """Give every owned target to its next owner; part of a planned stop."""
+        """Hand every owned target over to its next owner; part of a planned stop."""
         self.refresh_ownership(now)
 
-    def _start(self, event: events.Started, now: float) -> None:
+    def _handle_start(self, event: events.Started, now: float) -> None:
         options = self._context.options
-        self._context.repeat(options.report_interval, self._ask_reports, now)
+        self._context.repeat(options.report_interval, self._request_reports, now)
         self._context.repeat(options.slot_lease / 4, self._granter.expire_slots, now)
 
     def _take_over(self, view: TargetView, now: float) -> None:
         service = self._context.configuration.services.get(view.service_name)
         if service is None:
             return
-        books = self._ledger.books[view.id] = Books(view.id, service, now)
-        books.boot_id = view.boot_id
-        # Until the first report the former owner's word holds. Told unready meanwhile, every
-        # instance of the zone would pass a target over that is well.
-        books.ready = view.ready
+        owned_target = self._registry.owned_targets[view.id] = Books(view.id, service, now)
+        owned_target.boot_id = view.boot_id
+        # The former owner's readiness holds until the first report. If the target were announced as
+        # not ready meanwhile, every instance of the zone would skip a healthy target.
+        owned_target.ready = view.ready
         if view.boot_id and not view.cold:
-            # The owner before had seen it warm; whether it still is shows its boot id.
-            books.ramp.finish()
+            # The former owner had seen the target warm; a changed boot id will show if it no longer
+            # is.
+            owned_target.slow_start.mark_warm()
         self._context.count(codes.TAKEOVERS)
         self._context.log("target_taken_over", target=view.id)
-        self._ask_report(view)
+        self._request_report(view)
 
-    def _give_up(self, target: str, now: float) -> None:
-        books = self._ledger.books.pop(target)
+    def _release_ownership(self, target: str, now: float) -> None:
+        owned_target = self._registry.owned_targets.pop(target)
         fleet = self._context.fleet
         view = fleet.targets.get(target)
         owner = "" if view is None else fleet.find_owner(view)
         if view is not None and view.zone != self._context.identity.zone:
-            # Its own zone counts it again.
+            # From now on the load sum of the target's own zone covers it.
             view.updated = -1.0
             view.ready = False
             fleet.note_target(view, self._context.configuration)
-        self._granter.refuse_all(books, REFUSAL_NOT_OWNER, owner)
+        self._granter.refuse_waiters(owned_target, REFUSAL_NOT_OWNER, owner)
         if owner and owner != self._context.identity.instance:
             self._context.count(codes.HANDOVERS)
             self._context.log("target_handed_over", target=target, owner=owner)
-            self._context.send(owner, self._make_handover(books))
+            self._context.send(owner, self._make_handover(owned_target))
 
-    def _make_handover(self, books: Books) -> Handover:
+    def _make_handover(self, owned_target: Books) -> Handover:
         by_holder: dict[tuple[str, int], list[HeldSlot]] = {}
-        for slot in books.slots.values():
+        for slot in owned_target.slots.values():
             held = HeldSlot(attempt=slot.attempt, account=slot.account, suspect=slot.suspect)
             by_holder.setdefault((slot.holder, slot.incarnation), []).append(held)
         return Handover(
-            target=books.target,
+            target=owned_target.target,
             holders=[
                 SlotRenewal(
-                    instance=holder, incarnation=incarnation, target=books.target, slots=slots
+                    instance=holder,
+                    incarnation=incarnation,
+                    target=owned_target.target,
+                    slots=slots,
                 )
                 for (holder, incarnation), slots in by_holder.items()
             ],
-            boot_id=books.boot_id,
-            work_done=books.ramp.work,
+            boot_id=owned_target.boot_id,
+            work_done=owned_target.slow_start.completed_requests,
         )
 
     def _handle_handover(self, sender: str, message: Handover, now: float) -> None:
-        books = self._ledger.find(message.target)
-        if books is None:
+        owned_target = self._registry.find(message.target)
+        if owned_target is None:
             return
         for holder in message.holders:
             for held in holder.slots:
-                self._granter.register(books, held, holder.instance, holder.incarnation, now)
-        if message.boot_id == books.boot_id or not books.boot_id:
-            books.ramp.restore(message.work_done)
-        # The former owner has stopped granting and told its count.
-        books.probation.finish()
-        self._ledger.update(books, now)
-        self._granter.serve_queue(books, now)
-
-    def _ask_reports(self, now: float) -> None:
-        for target, books in self._ledger.books.items():
-            self._granter.note_service(books, now)
+                self._granter.register_slot(
+                    owned_target, held, holder.instance, holder.incarnation, now
+                )
+        if message.boot_id == owned_target.boot_id or not owned_target.boot_id:
+            owned_target.slow_start.restore(message.work_done)
+        # The former owner has stopped granting and has reported its slots.
+        owned_target.probation.finish()
+        self._registry.update_view(owned_target, now)
+        self._granter.serve_queue(owned_target, now)
+
+    def _request_reports(self, now: float) -> None:
+        for target, owned_target in self._registry.owned_targets.items():
+            self._granter.update_service_state(owned_target, now)
             view = self._context.fleet.targets.get(target)
             if view is not None:
-                self._ask_report(view)
+                self._request_report(view)
 
-    def _ask_report(self, view: TargetView) -> None:
+    def _request_report(self, view: TargetView) -> None:
         self._context.emit(actions.ReadReport(view.id, view.service_name, view.host, view.port))
 
     def _handle_report(self, event: events.ReportRead, now: float) -> None:
-        books = self._ledger.find(event.target)
+        owned_target = self._registry.find(event.target)
         view = self._context.fleet.targets.get(event.target)
-        if books is None or view is None:
+        if owned_target is None or view is None:
             return
-        if event.boot_id != books.boot_id:
-            if books.boot_id:
-                self._ledger.turn_cold(books, "boot", now)
+        if event.boot_id != owned_target.boot_id:
+            if owned_target.boot_id:
+                self._registry.mark_cold(owned_target, "boot", now)
             else:
-                books.ramp.show_bearing(event.running)
-            books.boot_id = event.boot_id
-        books.own_limit = event.slots
-        books.take_report(event.running, event.age, now)
-        was_ready = books.ready
-        books.ready = event.state not in (STATE_LOADING, STATE_LEAVING)
+                owned_target.slow_start.raise_limit_to(event.running)
+            owned_target.boot_id = event.boot_id
+        owned_target.reported_limit = event.slots
+        owned_target.take_report(event.running, event.age, now)
+        was_ready = owned_target.ready
+        owned_target.ready = event.state not in (STATE_LOADING, STATE_LEAVING)
         view.models = event.models
-        if books.ready != was_ready:
-            self._context.log("target_ready", target=books.target, ready=str(books.ready))
-        self._ledger.update(books, now)
-        self._granter.serve_queue(books, now)
+        if owned_target.ready != was_ready:
+            self._context.log(
+                "target_ready", target=owned_target.target, ready=str(owned_target.ready)
+            )
+        self._registry.update_view(owned_target, now)
+        self._granter.serve_queue(owned_target, now)
 
     def _handle_report_failure(self, event: events.ReportFailed, now: float) -> None:
-        books = self._ledger.find(event.target)
-        if books is None:
+        owned_target = self._registry.find(event.target)
+        if owned_target is None:
             return
         self._context.count(codes.REPORTS_FAILED)
-        silent = now - max(books.report_at, books.taken_at)
-        if books.ready and silent > self._context.options.report_max_age:
-            books.ready = False
-            self._context.log("target_ready", target=books.target, ready="False")
-            self._ledger.update(books, now)
-            self._granter.refuse_all(books, REFUSAL_NOT_READY)
+        silent_for = now - max(owned_target.last_report_at, owned_target.taken_over_at)
+        if owned_target.ready and silent_for > self._context.options.report_max_age:
+            owned_target.ready = False
+            self._context.log("target_ready", target=owned_target.target, ready="False")
+            self._registry.update_view(owned_target, now)
+            self._granter.refuse_waiters(owned_target, REFUSAL_NOT_READY)
 
     def _handle_pause(self, event: events.ProcessPaused, now: float) -> None:
-        """Take every owned target over afresh after a pause of this process.
+        """Treat every owned target as newly taken over after a pause of this process.
 
-        While it was paused its peers may have taken its targets; granting from books of before
-        would add a second set of slots to theirs. Until holders and reports have spoken again,
-        each target is granted no more than a cold one.
+        During the pause its peers may have taken over its targets; granting from the state before
+        the pause would add a second set of slots to theirs. Until holders and reports have been
+        heard again, each target is granted no more slots than a cold one.
         """
-        if event.seconds < PAUSE_SHARE * self._context.options.peer_silence:
+        if event.seconds < PAUSE_FRACTION * self._context.options.peer_silence:
             return
         self._context.count(codes.PAUSES)
         self._context.log("process_paused", seconds=f"{event.seconds:.1f}")
-        for books in self._ledger.books.values():
-            service = self._ledger.find_service(books)
-            books.taken_at = now
-            books.probation = Probation(1 if service is None else service.cold_slots)
-            self._granter.refuse_all(books, REFUSAL_NOT_READY)
-
-    def _handle_lost(self, event: events.PeerLost, now: float) -> None:
-        """Drop the waiters of an instance that cannot be reached: it asks elsewhere."""
-        for books in self._ledger.books.values():
-            books.queue.take_of(event.peer)
+        for owned_target in self._registry.owned_targets.values():
+            service = self._registry.find_service(owned_target)
+            owned_target.taken_over_at = now
+            owned_target.probation = Probation(1 if service is None else service.cold_slots)
+            self._granter.refuse_waiters(owned_target, REFUSAL_NOT_READY)
+
+    def _handle_peer_lost(self, event: events.PeerLost, now: float) -> None:
+        """Drop the queued requests of an unreachable instance; it asks elsewhere."""
+        for owned_target in self._registry.owned_targets.values():
+            owned_target.queue.remove_sender(event.peer)
--- a/tests/core/owners/test_owner.py
+++ b/tests/core/owners/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner duty, driven by events: what it grants, refuses and counts."""
+"""Tests of the owner component, driven by events: what it grants, refuses and counts."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 )
 from tests.core.driver import HOLDERS, SERVICE, ZONE, Driver, list_instance, list_target
 
-PLANNER = Service(name=SERVICE, bound=1.25, floor=2, cold_slots=1, cold_requests=1)
-OPEN = Service(name=SERVICE, bound=1.25, floor=8, cold_slots=1, cold_requests=1)
+LOW_FLOOR = Service(name=SERVICE, bound=1.25, floor=2, cold_slots=1, cold_requests=1)
+HIGH_FLOOR = Service(name=SERVICE, bound=1.25, floor=8, cold_slots=1, cold_requests=1)
 TARGET = "engine-a1"
 
 
 def make_owner(
-    service: Service = OPEN, targets: int = 1, warm: bool = True, peers: tuple[str, ...] = ()
+    service: Service = HIGH_FLOOR, targets: int = 1, warm: bool = True, peers: tuple[str, ...] = ()
 ) -> Driver:
-    """Make the core of the only instance of its zone, owner of all targets there."""
+    """Return the core of the only instance of its zone, which owns all targets there."""
     names = [f"engine-a{number}" for number in range(1, targets + 1)]
     entries = [list_target(name) for name in names] + [list_instance(name) for name in peers]
     driver = Driver(entries, service)
@@ -37,12 +37,12 @@
     driver.pass_probation(*names)
     if warm:
         for name in driver.core.owner.list_owned():
-            driver.core.owner._ledger.books[name].ramp.finish()
+            driver.core.owner._registry.owned_targets[name].slow_start.mark_warm()
             driver.report(name, 0)
     return driver
 
 
-# The limit.
+# The load limit.
 
 
 @settings(max_examples=40, deadline=None)
@@ -50,23 +50,24 @@
 def test_random_events_never_take_a_target_over_its_limit(
     seed: int, targets: int, lag: float
 ) -> None:
-    """Grants, ends, cuts that leave work running, and late reports, in any order.
+    """Run grants, completions, cuts that leave work running, and late reports in random order.
 
-    What really runs on a target is kept by the test. At each grant it must be within the set
-    multiple of the mean of what the owner counts, and within the target's own limit.
+    The test itself records what really runs on each target. At each grant this must be within the
+    bound, a multiple of the mean of the loads that the owner counts, and within the target's own
+    limit.
     """
     random = Random(seed)
-    driver = make_owner(PLANNER, targets)
+    driver = make_owner(LOW_FLOOR, targets)
     names = [f"engine-a{number}" for number in range(1, targets + 1)]
     running: dict[str, set[str]] = {name: set() for name in names}
     history: list[tuple[float, dict[str, int]]] = []
-    left_behind: list[tuple[float, str, str]] = []
+    still_running: list[tuple[float, str, str]] = []
     held: list[tuple[str, str]] = []
     for _ in range(250):
         driver.now += random.uniform(0.0, 0.2)
-        for entry in [e for e in left_behind if e[0] <= driver.now]:
+        for entry in [e for e in still_running if e[0] <= driver.now]:
             running[entry[1]].discard(entry[2])
-            left_behind.remove(entry)
+            still_running.remove(entry)
         target = random.choice(names)
         draw = random.random()
         if draw < 0.6:
@@ -75,7 +76,7 @@
                 running[target].add(attempt)
                 held.append((target, attempt))
                 total = sum(driver.read_load(name) for name in names)
-                limit = max(PLANNER.floor, math.ceil(PLANNER.bound * total / targets))
+                limit = max(LOW_FLOOR.floor, math.ceil(LOW_FLOOR.bound * total / targets))
                 assert len(running[target]) <= driver.read_load(target) <= min(limit, 12)
         elif draw < 0.8 and held:
             target, attempt = held.pop(random.randrange(len(held)))
@@ -83,7 +84,7 @@
             if completed:
                 running[target].discard(attempt)
             else:
-                left_behind.append((driver.now + random.uniform(0.0, 1.5), target, attempt))
+                still_running.append((driver.now + random.uniform(0.0, 1.5), target, attempt))
             driver.release(target, attempt, completed=completed)
         history.append((driver.now, {name: len(runs) for name, runs in running.items()}))
         if random.random() < 0.3:
@@ -96,7 +97,7 @@
 
 @pytest.mark.parametrize("bound", [1.0, 1.25])
 def test_a_full_fleet_can_still_grow(bound: float) -> None:
-    # Every target is at its limit and the mean is small; each grant raises the mean, so that a
+    # Every target is at its limit and the mean is small. Each grant raises the mean, so that a
     # burst of any size is served up to the targets' own limits.
     service = Service(name=SERVICE, bound=bound, floor=2, cold_slots=1, cold_requests=1)
     driver = make_owner(service, targets=5)
@@ -111,10 +112,10 @@
 
 
 def test_a_waiter_is_served_when_the_mean_grows_elsewhere() -> None:
-    # Engine 1 is at the floor and a request waits there. Then the load of the other targets
-    # grows, and with it what engine 1 may carry. Nothing of its own changes; its next report
-    # wakes the waiter.
-    driver = make_owner(PLANNER, targets=4)
+    # Engine 1 is at the floor and a request is queued there. Then load on the other targets raises
+    # the mean and with it the limit of engine 1, whose own state does not change. The next report
+    # of engine 1 must grant the queued request.
+    driver = make_owner(LOW_FLOOR, targets=4)
     driver.ask("engine-a1")
     driver.ask("engine-a1")
     waiting = driver.ask("engine-a1", max_wait=5.0)
@@ -126,10 +127,10 @@
     assert driver.is_granted(waiting)
 
 
-def test_an_attempt_that_was_cut_stays_load_until_a_later_report() -> None:
-    # The way to an engine is cut under eight requests; it goes on with them. Counted as free at
-    # once, their slots would be granted again and the engine would run sixteen.
-    driver = make_owner(OPEN)
+def test_a_cut_attempt_counts_as_load_until_a_later_report() -> None:
+    # The connection to an engine is cut under eight requests, which it goes on running. If their
+    # slots were free at once, they would be granted again and the engine would run sixteen.
+    driver = make_owner(HIGH_FLOOR)
     held = [driver.ask(TARGET) for _ in range(8)]
     assert all(driver.is_granted(attempt) for attempt in held)
     for attempt in held:
@@ -137,7 +138,9 @@
     assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
     driver.now += 0.2
     driver.report(TARGET, 8, age=0.3)
-    assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL, "the report is of before"
+    assert (
+        driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
+    ), "the report was made before the cut"
     driver.now += 1.0
     driver.report(TARGET, 5, age=0.3)
     assert driver.read_load(TARGET) == 5
@@ -147,14 +150,14 @@
 
 
 @pytest.mark.parametrize("lag", [0.0, 0.5, 2.0])
-def test_a_late_report_shows_no_load_of_others_after_a_burst_of_ends(lag: float) -> None:
-    driver = make_owner(OPEN)
+def test_a_late_report_shows_no_foreign_load_after_a_burst_of_releases(lag: float) -> None:
+    driver = make_owner(HIGH_FLOOR)
     held = [driver.ask(TARGET) for _ in range(8)]
     driver.pass_time(2.5)
     for attempt in held:
         driver.release(TARGET, attempt)
     driver.now += 0.1
-    # Made when all eight still ran, if it is late enough.
+    # With a large enough lag the report was made when all eight requests still ran.
     driver.report(TARGET, 8 if lag > 0.1 else 0, age=lag)
     assert driver.read_load(TARGET) == 0
 
@@ -163,39 +166,39 @@
 
 
 class SharedEngine:
-    """What runs on one engine that two instances both take for their own."""
+    """What runs on one engine that two instances both believe they own."""
 
     def __init__(self, lag: float) -> None:
         self.running: set[str] = set()
-        self.most = 0
+        self.max_running = 0
         self._lag = lag
         self._history: list[tuple[float, int]] = [(0.0, 0)]
 
-    def note(self, now: float) -> None:
-        """Remember how much runs."""
-        self.most = max(self.most, len(self.running))
+    def record(self, now: float) -> None:
+        """Record how many requests run."""
+        self.max_running = max(self.max_running, len(self.running))
         self._history.append((now, len(self.running)))
 
-    def read(self, now: float) -> int:
-        """Give what a report shows."""
+    def read_report(self, now: float) -> int:
+        """Return the number of running requests that a report shows."""
         return [count for at, count in self._history if at <= now - self._lag][-1]
 
 
 def run_two_owners(lag: float, seed: int, probation: bool) -> int:
-    """Have a second owner come under full load; gives the most that the engine ever ran."""
+    """Let a second owner start under full load; return the engine's peak load."""
     random = Random(seed)
-    first, second = make_owner(OPEN), make_owner(OPEN)
+    first, second = make_owner(HIGH_FLOOR), make_owner(HIGH_FLOOR)
     engine = SharedEngine(lag)
     held: dict[str, tuple[Driver, str]] = {}
     second.core.owner._handle_pause(events.ProcessPaused(9.0), second.now)
     for step in range(400):
         driver = random.choice((first, second))
         if not probation:
-            second.core.owner._ledger.books[TARGET].probation.finish()
+            second.core.owner._registry.owned_targets[TARGET].probation.finish()
         for one in (first, second):
             one.now += 0.02
             if step % 25 == 0:
-                one.report(TARGET, engine.read(one.now), age=lag)
+                one.report(TARGET, engine.read_report(one.now), age=lag)
         attempt = driver.ask(TARGET, holder="entry-b1" if driver is first else "entry-c1")
         if driver.is_granted(attempt):
             engine.running.add(attempt)
@@ -205,26 +208,27 @@
             del held[ended]
             engine.running.discard(ended)
             owner.release(TARGET, ended)
-        engine.note(driver.now)
-    return engine.most
+        engine.record(driver.now)
+    return engine.max_running
 
 
 @pytest.mark.parametrize("lag", [0.0, 0.3])
-def test_two_owners_stay_within_the_limit_and_a_cold_start(lag: float) -> None:
+def test_two_owners_exceed_the_limit_by_at_most_a_cold_start(lag: float) -> None:
     """Two instances both believe that they own an engine whose limit is eight, under full load.
 
-    The second comes to it after a pause. Each sees the other only in reports that are up to half a
-    second apart and late; granting from the limit alone, each fills the room that the other fills.
+    The second becomes owner after a pause. Each sees the other's load only in reports that are late
+    and up to half a second apart. If both granted up to the limit alone, both would fill the same
+    free capacity.
     """
-    most = max(run_two_owners(lag, seed, probation=True) for seed in range(20))
-    loose = max(run_two_owners(lag, seed, probation=False) for seed in range(20))
-    print(f"lag {lag}: most {most}, without probation {loose}, limit 8")
-    assert most <= 8 + OPEN.cold_slots
-    assert loose > most, "the safeguard makes no difference here"
+    with_probation = max(run_two_owners(lag, seed, probation=True) for seed in range(20))
+    without_probation = max(run_two_owners(lag, seed, probation=False) for seed in range(20))
+    print(f"lag {lag}: most {with_probation}, without probation {without_probation}, limit 8")
+    assert with_probation <= 8 + HIGH_FLOOR.cold_slots
+    assert without_probation > with_probation, "probation made no difference"
 
 
-def test_a_new_owner_grants_nothing_before_a_report_of_its_own_time() -> None:
-    driver = Driver([list_target(TARGET)], OPEN)
+def test_a_new_owner_grants_nothing_before_a_report_made_after_its_takeover() -> None:
+    driver = Driver([list_target(TARGET)], HIGH_FLOOR)
     driver.report(TARGET, 0, age=0.5)
     assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
     driver.now += 1.0
@@ -232,8 +236,8 @@
     assert driver.is_granted(driver.ask(TARGET))
 
 
-def test_a_hand_over_ends_the_probation_and_carries_slots_and_work() -> None:
-    driver = Driver([list_target(TARGET)], OPEN)
+def test_a_handover_ends_probation_and_transfers_slots_and_completed_work() -> None:
+    driver = Driver([list_target(TARGET)], HIGH_FLOOR)
     driver.report(TARGET, 0)
     slots = [HeldSlot(attempt=f"t{number}") for number in range(3)]
     renewal = SlotRenewal(instance="entry-b9", incarnation=1, target=TARGET, slots=slots)
@@ -246,9 +250,9 @@
 
 
 def test_an_owner_that_was_paused_starts_its_probation_again() -> None:
-    # A pause shorter than the silence that peers allow can still have cost the ownership: the
-    # last heartbeat went out some time before it began.
-    driver = make_owner(OPEN)
+    # A pause shorter than the silence that peers allow can still have cost the ownership, because
+    # the last heartbeat was sent some time before the pause began.
+    driver = make_owner(HIGH_FLOOR)
     driver.handle(events.ProcessPaused(2.9))
     assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
     driver.now += 0.5
@@ -259,13 +263,14 @@
 # Holders that die.
 
 
-def test_slots_of_a_silent_holder_come_back_when_the_report_agrees() -> None:
-    """An entry instance dies with eight slots, which the engine goes on running for a while.
+def test_slots_of_a_silent_holder_are_freed_as_reports_show_them_ended() -> None:
+    """An instance dies with eight slots, whose requests the engine goes on running for a while.
 
-    Freed at once they would be granted again while the engine runs them; kept until the lease
-    ends they would idle. They come back as reports show that the engine is done with them.
+    If the slots were freed at once, they would be granted again while the engine still runs the
+    requests; if they were kept until the lease ends, they would be idle. They must be freed as
+    reports show that the engine has finished the requests.
     """
-    driver = make_owner(OPEN, targets=12, peers=("entry-a2",))
+    driver = make_owner(HIGH_FLOOR, targets=12, peers=("entry-a2",))
     target = driver.core.owner.list_owned()[0]
     held = [driver.ask(target, holder="entry-a2") for _ in range(8)]
     assert all(driver.is_granted(attempt) for attempt in held)
@@ -282,8 +287,8 @@
     assert driver.is_granted(driver.ask(target))
 
 
-def test_slots_of_an_earlier_incarnation_come_back() -> None:
-    driver = make_owner(OPEN)
+def test_slots_of_an_earlier_incarnation_are_freed() -> None:
+    driver = make_owner(HIGH_FLOOR)
     for _ in range(8):
         driver.ask(TARGET, holder="entry-b9", incarnation=5)
     first = driver.ask(TARGET, holder="entry-b9", incarnation=6)
@@ -294,7 +299,7 @@
 
 
 def test_a_holder_that_was_only_cut_off_registers_its_slots_once() -> None:
-    driver = make_owner(OPEN)
+    driver = make_owner(HIGH_FLOOR)
     held = [driver.ask(TARGET, holder="entry-b1") for _ in range(4)]
     driver.core.owner.free_holder("entry-b1", 2, driver.now)
     driver.now += 1.0
@@ -310,16 +315,16 @@
 
 
 def test_a_new_boot_id_makes_a_target_cold() -> None:
-    driver = make_owner(OPEN)
+    driver = make_owner(HIGH_FLOOR)
     driver.report(TARGET, 0, boot_id="b2")
     granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(5)]
-    assert granted.count(True) == OPEN.cold_slots
+    assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
-def test_a_fleet_that_starts_again_takes_busy_targets_for_warm() -> None:
-    # Every instance was restarted at once, so nobody remembers that the engine is warm. It is
-    # seen to run six requests; held to a cold start it would get one at a time.
-    driver = Driver([list_target(TARGET)], OPEN)
+def test_a_restarted_fleet_treats_busy_targets_as_warm() -> None:
+    # All instances were restarted at once, so none of them knows that the engine is warm. It is
+    # seen to run six requests; in slow start it would get one at a time.
+    driver = Driver([list_target(TARGET)], HIGH_FLOOR)
     driver.report(TARGET, 6)
     driver.pass_probation(TARGET, running=0)
     granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(8)]
@@ -327,24 +332,24 @@
 
 
 def test_slow_first_bytes_make_a_target_cold_and_long_prompts_do_not() -> None:
-    driver = make_owner(OPEN)
+    driver = make_owner(HIGH_FLOOR)
     for _ in range(5):
         driver.release(TARGET, driver.ask(TARGET), first_byte=0.05, tokens=100)
     for _ in range(5):
-        # 40,000 tokens take five seconds at the declared rate: long, and not slow.
+        # 40,000 tokens take five seconds at the declared rate: long, but not slow.
         driver.release(TARGET, driver.ask(TARGET), first_byte=5.0, tokens=40_000)
     assert "cold_starts" not in driver.counts
     for _ in range(3):
         driver.release(TARGET, driver.ask(TARGET), first_byte=1.5, tokens=100)
     assert driver.counts["cold_starts"] == 1
     granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(4)]
-    assert granted.count(True) == OPEN.cold_slots
+    assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
-def test_failures_in_a_row_make_a_target_cold_and_old_work_does_not_warm_it() -> None:
-    # An engine turns cold under full load and falls over: requests fail one after the other.
-    # What ends well after that was granted before and does not show what the engine bears now.
-    driver = make_owner(OPEN)
+def test_consecutive_failures_make_a_target_cold_and_earlier_grants_do_not_warm_it() -> None:
+    # An engine turns cold under full load and its requests fail one after the other. Requests that
+    # complete after that were granted before and do not show what the engine can serve now.
+    driver = make_owner(HIGH_FLOOR)
     held = [driver.ask(TARGET) for _ in range(8)]
     driver.now += 0.5
     for attempt in held[:2]:
@@ -355,12 +360,13 @@
     driver.now += 1.0
     driver.report(TARGET, 0)
     granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(5)]
-    assert granted.count(True) == OPEN.cold_slots
+    assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
-def test_a_target_that_is_still_warming_can_turn_cold_again() -> None:
-    # Its limit has risen to eight and it falls over; taken for cold already, it would keep eight.
-    driver = make_owner(OPEN, warm=False)
+def test_a_target_in_slow_start_can_turn_cold_again() -> None:
+    # The limit has risen to eight when the engine fails. If an engine in slow start could not turn
+    # cold again, it would keep the limit of eight.
+    driver = make_owner(HIGH_FLOOR, warm=False)
     for _ in range(20):
         driver.release(TARGET, driver.ask(TARGET), first_byte=0.05)
     held = [driver.ask(TARGET) for _ in range(8)]
@@ -370,19 +376,19 @@
     driver.now += 1.0
     driver.report(TARGET, 0)
     granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(5)]
-    assert granted.count(True) == OPEN.cold_slots
+    assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
 # Waiting.
 
 
-def test_a_wait_that_cannot_end_in_time_is_refused_at_once() -> None:
-    driver = make_owner(OPEN)
+def test_a_request_that_cannot_be_granted_in_time_is_refused_at_once() -> None:
+    driver = make_owner(HIGH_FLOOR)
     held = [driver.ask(TARGET) for _ in range(8)]
     driver.now += 4.0
     driver.release(TARGET, held.pop())
     held.append(driver.ask(TARGET))
-    # A slot is given back about every half second: eight slots of four seconds each.
+    # A slot is released about every half second: eight slots of four seconds each.
     waiting = driver.ask(TARGET, max_wait=1.2)
     assert not driver.find_replies(waiting)
     for _ in range(2):
@@ -393,13 +399,13 @@
     assert driver.find_refusal(driver.ask(TARGET, max_wait=0.0)) == REFUSAL_FULL
 
 
-def test_a_chat_waits_for_the_slot_that_its_turn_before_is_giving_back() -> None:
-    """A caller has its answer and asks the next turn before the slot of the first is back.
+def test_a_chat_waits_for_the_slot_of_its_previous_turn() -> None:
+    """A caller sends the next turn of a chat before the slot of the previous turn is released.
 
-    It comes in through another instance, whose request for a slot overtakes the word of the end.
-    Refused, the chat would go to an engine that has to read its whole context again.
+    The turn arrives through another instance, whose slot request overtakes the release message. If
+    it were refused, the chat would go to an engine that has to read its whole context again.
     """
-    driver = make_owner(PLANNER, targets=1, warm=False)
+    driver = make_owner(LOW_FLOOR, targets=1, warm=False)
     first = driver.ask(TARGET)
     driver.now += 0.1
     driver.release(TARGET, first, completed=True)
@@ -414,7 +420,7 @@
     assert driver.is_granted(turn)
 
 
-def test_a_surge_keeps_neither_slots_nor_queue_from_others() -> None:
+def test_a_surge_blocks_neither_slots_nor_queue_for_other_accounts() -> None:
     service = Service(name=SERVICE, floor=4, cold_slots=1, cold_requests=1, max_queue=16)
     driver = make_owner(service)
     driver.report(TARGET, 0, slots=4)
@@ -428,7 +434,7 @@
 
 
 def test_a_waiter_is_refused_when_its_deadline_comes() -> None:
-    driver = make_owner(OPEN)
+    driver = make_owner(HIGH_FLOOR)
     for _ in range(8):
         driver.ask(TARGET)
     waiting = driver.ask(TARGET, max_wait=1.0)
@@ -437,7 +443,7 @@
 
 
 def test_waiters_are_refused_when_reports_fail() -> None:
-    driver = make_owner(OPEN)
+    driver = make_owner(HIGH_FLOOR)
     for _ in range(8):
         driver.ask(TARGET)
     waiting = driver.ask(TARGET, max_wait=60.0)
@@ -450,10 +456,10 @@
 # Members.
 
 
-def test_list_and_heartbeats_do_not_argue_about_who_leaves() -> None:
-    # The list says that a peer leaves before the peer itself knows. If each heartbeat took the
-    # word back, its targets would change owners every second.
-    driver = make_owner(OPEN, targets=12, peers=("entry-a2",))
+def test_heartbeats_do_not_revert_the_leaving_state_of_the_list() -> None:
+    # The list marks a peer as leaving before the peer itself knows. If each heartbeat reverted
+    # that, the peer's targets would change owners every second.
+    driver = make_owner(HIGH_FLOOR, targets=12, peers=("entry-a2",))
     entries = [list_target(f"engine-a{n}") for n in range(1, 13)]
     driver.read_list(*entries, list_instance("entry-a2", state="leaving"))
     assert len(driver.core.owner.list_owned()) == 12
@@ -465,8 +471,8 @@
     assert driver.counts["takeovers"] == taken
 
 
-def test_an_instance_that_the_list_calls_leaving_gives_up_its_targets() -> None:
-    driver = make_owner(OPEN, targets=12, peers=("entry-a2",))
+def test_an_instance_listed_as_leaving_releases_its_targets() -> None:
+    driver = make_owner(HIGH_FLOOR, targets=12, peers=("entry-a2",))
     assert driver.core.owner.list_owned()
     entries = [list_target(f"engine-a{n}") for n in range(1, 13)]
     own = list_instance("entry-a1", state="leaving")
@@ -475,8 +481,8 @@
     assert driver.list_sent(Handover)
 
 
-def test_a_heartbeat_does_not_overwrite_the_books_of_an_owner() -> None:
-    driver = make_owner(OPEN)
+def test_a_heartbeat_does_not_overwrite_the_state_of_an_owned_target() -> None:
+    driver = make_owner(HIGH_FLOOR)
     driver.ask(TARGET)
     load = TargetLoad(target=TARGET, boot_id="other", load=99, ready=True, service_name=SERVICE)
     driver.beat("entry-a2", load)
@@ -484,14 +490,18 @@
     assert driver.core.context.fleet.targets[TARGET].zone == ZONE
 
 
-# Zones that are cut off.
+# Partitioned zones.
 
 
-def test_an_instance_out_of_touch_owns_no_targets_of_other_zones() -> None:
-    """An instance is cut off from the platform and from all others, but reaches another zone's
-    targets. Operators take that zone out. Nobody of it is left as far as the instance can tell, so
-    its targets would be its own to grant, and they got its callers' work while the cut lasted."""
-    driver = Driver([list_target(TARGET), list_target("engine-b1", "almaty-b")], OPEN)
+def test_a_partitioned_instance_owns_no_targets_of_other_zones() -> None:
+    """A partitioned instance keeps its own zone's targets, but not those of other zones.
+
+    It is cut off from the platform and from all other instances, but still reaches the targets of
+    another zone. Operators take that zone out of service. To the instance no owner of the zone is
+    left, so it would become the owner of its targets and send them its callers' work for as long as
+    the partition lasts.
+    """
+    driver = Driver([list_target(TARGET), list_target("engine-b1", "almaty-b")], HIGH_FLOOR)
     for holder in HOLDERS:
         driver.handle(events.PeerLost(holder))
     for _ in range(6):
