--- a/rhubarbbend/core/requests/_attempts.py
+++ b/rhubarbbend/core/requests/_attempts.py
@@ -218,8 +218,8 @@
             return
         limit = self._context.options.max_silent_checks
         if not self._can_resume(request):
-            # A lookup that is sent again runs twice, so it is sent again at most once, and only if
-            # the retry budget allows it.
+            # A plain service runs a request twice that is sent again, so it is sent again at most
+            # once, and only if the retry budget allows it.
             limit = 1 if self._budget.try_acquire() else 0
         if request.silent_checks >= limit:
             return
--- a/rhubarbbend/core/requests/_entry.py
+++ b/rhubarbbend/core/requests/_entry.py
@@ -185,8 +185,8 @@
         more target.
         """
         for request in self._table.list_all():
-            awaits_slot = request.phase is Phase.SLOT and not request.has_slot
-            if awaits_slot and request.arrived.body_digest == digest:
+            awaiting_slot = request.phase is Phase.SLOT and not request.has_slot
+            if awaiting_slot and request.arrived.body_digest == digest:
                 self.handle_slot_refused(request, codes.SUSPECT, now)
 
     def _check_admission(self, request: Request, now: float) -> ErrorCode | None:
--- a/rhubarbbend/core/requests/_requests.py
+++ b/rhubarbbend/core/requests/_requests.py
@@ -43,6 +43,7 @@
     # The index in `plan` of the target whose owner is being asked; -1 before the first.
     position: int = -1
     attempt: str = ""
+    # The instance that was asked for a slot last, or to run a command under a key that it issued.
     asked_owner: str = ""
     redirects: int = 0
     # Whether instances disagree about which of them owns a planned target, and how often the
@@ -55,8 +56,8 @@
     boot_id: str = ""
     excluded: set[str] = attrs.Factory(set)
     has_slot: bool = False
-    # How often the request was dispatched to a new target, and how often a run was resumed or sent
-    # again to the same target.
+    # How often the request was given a slot and dispatched, and how often a run was resumed or
+    # sent again to the same target.
     attempts: int = 0
     resumes: int = 0
     sent: bool = False
--- a/rhubarbbend/core/requests/_slots.py
+++ b/rhubarbbend/core/requests/_slots.py
@@ -123,6 +123,7 @@
             self.send_to_owner(target, renewal)
 
     def _list_recently_released(self, now: float) -> list[str]:
+        """Return the targets of recent releases, and expire those older than one lease."""
         lease = self._context.options.slot_lease
         for target, first_renewed_at in list(self._recently_released.items()):
             if first_renewed_at < 0:
