--- a/rhubarbbend/core/claims/__init__.py
+++ b/rhubarbbend/core/claims/__init__.py
@@ -1,5 +1,10 @@
-"""At most one run of a command under its key: claims in the store's table, and reserved keys.
+"""At-most-once execution of commands by idempotency key: claim rows and reserved keys.
 
-`_claims` is the duty; the others are its parts. Nothing is imported here, because duties of
-different folders know one another's types.
+A command is a request for an operation that is not idempotent. Its caller names it by an
+idempotency key. An instance claims the key with a conditional insert into a table of the platform
+before it dispatches the command; a reserved key needs no table, because only its issuer runs it.
+
+`_claims` coordinates the claims and `_reserved` the reserved keys; the other modules are their
+parts. Nothing is imported here: this package and `rhubarbbend.core.requests` use each other's
+types, and imports here would be circular.
 """
--- a/rhubarbbend/core/claims/_claim_listener.py
+++ b/rhubarbbend/core/claims/_claim_listener.py
@@ -1,4 +1,7 @@
-"""What the claim duty tells the entry duty."""
+"""The interface through which `ClaimDuty` reports the results of claims.
+
+`EntryDuty` in `rhubarbbend.core.requests` implements it.
+"""
 
 from __future__ import annotations
 
@@ -10,28 +13,32 @@
 
 
 class ClaimListener(Protocol):
-    """Told what became of a claim."""
+    """Receives the result of each claim; `request_id` names the request that made it."""
 
-    def claim_won(self, request: str, generation: int, now: float) -> None:
-        """The request's own attempt is in the table: it may be dispatched."""
+    def claim_won(self, request_id: str, generation: int, now: float) -> None:
+        """Handle a claim that is held by the request's own attempt, which may now be dispatched."""
         ...
 
-    def claim_retake(self, request: str, version: int, generation: int, now: float) -> None:
-        """The key was refused before; claim it with this version and generation."""
+    def claim_retake(self, request_id: str, version: int, generation: int, now: float) -> None:
+        """Claim the key again, because the attempt that held it will never run.
+
+        `version` is the row version that the next write has to expect (0: no row), and
+        `generation` the number of the new claim under the key.
+        """
         ...
 
-    def claim_waits(self, request: str, now: float) -> None:
-        """Another attempt under the key is running; its outcome will be the request's."""
+    def claim_waits(self, request_id: str, now: float) -> None:
+        """Handle a key held by another attempt, whose outcome will answer this request too."""
         ...
 
-    def claim_replayed(self, request: str, outcome: Outcome, now: float) -> None:
-        """The key has run; this is its answer."""
+    def claim_replayed(self, request_id: str, outcome: Outcome, now: float) -> None:
+        """Answer with the stored outcome of the command that has already run under the key."""
         ...
 
-    def claim_refused(self, request: str, code: ErrorCode, verdict: Verdict, now: float) -> None:
-        """The request gets no run; `verdict` speaks of the key."""
+    def claim_refused(self, request_id: str, code: ErrorCode, verdict: Verdict, now: float) -> None:
+        """Refuse the request; `verdict` says whether the command may have run under the key."""
         ...
 
-    def find_request(self, request: str) -> Request | None:
-        """Find a request that is still open."""
+    def find_request(self, request_id: str) -> Request | None:
+        """Return a request that has no final answer yet, None if there is none of this id."""
         ...
--- a/rhubarbbend/core/claims/_claim_records.py
+++ b/rhubarbbend/core/claims/_claim_records.py
@@ -1,4 +1,4 @@
-"""Records of the keys that this instance claims or has claimed, and what it says of them."""
+"""In-memory records of the keys that this instance has claimed, and its replies about them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core.claims._claim_queries import (
     STATE_DONE,
-    STATE_NEVER,
+    STATE_NEVER_DISPATCHED,
     STATE_RUNNING,
     STATE_UNKNOWN,
 )
@@ -24,7 +24,8 @@
 from rhubarbbend.core.messages import ClaimQuery, ClaimReply
 from rhubarbbend.core.requests._requests import Request
 
-# Clocks of instances may differ by this much; only the finality of "not run" leans on it.
+# Largest assumed difference between the wall clocks of two instances, in seconds. Only the finality
+# of "not run" verdicts depends on it.
 CLOCK_SKEW: Final = 0.5
 
 _REPLY_STATES: Final = {
@@ -32,51 +33,55 @@
     RecordState.RUNNING: STATE_RUNNING,
     RecordState.DONE: STATE_DONE,
     RecordState.UNKNOWN: STATE_UNKNOWN,
-    RecordState.NOT_RUN: STATE_NEVER,
+    RecordState.NOT_RUN: STATE_NEVER_DISPATCHED,
 }
 
 
-def key_of(request: Request) -> str:
-    """Give the table key of a request."""
+def make_request_key(request: Request) -> str:
+    """Return the key of a request's row in the claim table."""
     return make_key(request.account.name, request.arrived.key)
 
 
 class ClaimRecords:
-    """Invariant: an attempt that has been marked as never run stays so while it is remembered."""
+    """The records of this incarnation by table key, and the attempts that will never be dispatched.
+
+    Invariant: an attempt marked as never dispatched stays marked until it is evicted.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._records: dict[str, Record] = {}
-        # Attempts of this incarnation that were never dispatched and never will be, and since when.
-        self._never: dict[str, float] = {}
+        # Attempts of this incarnation that were never dispatched and never will be, with the local
+        # time at which they were marked.
+        self._never_dispatched: dict[str, float] = {}
 
     def find(self, request: Request) -> Record | None:
-        """Find the record of a request's key."""
-        return self._records.get(key_of(request))
+        """Return the record of a request's key, None if there is none."""
+        return self._records.get(make_request_key(request))
 
-    def find_own(self, request: Request) -> Record | None:
-        """Find the record of a request's own claim."""
-        record = self._records.get(key_of(request))
+    def find_own_claim(self, request: Request) -> Record | None:
+        """Return the record of a request's key if the request itself made the claim."""
+        record = self._records.get(make_request_key(request))
         if record is None or record.attempt != request.claim_id:
             return None
         return record
 
-    def find_written(self, write: PendingWrite) -> Record | None:
-        """Find the record that a row was made for, unless a newer attempt has its place."""
+    def find_for_write(self, write: PendingWrite) -> Record | None:
+        """Return the record that a row was written for, None if a newer attempt has replaced it."""
         record = self._records.get(write.key)
         if record is None or record.attempt != write.row.attempt:
             return None
         return record
 
-    def find_never(self, attempt: str) -> float | None:
-        """Give the time since which an attempt of this incarnation is never dispatched."""
-        return self._never.get(attempt)
+    def find_never_dispatched(self, attempt: str) -> float | None:
+        """Return the local time at which an attempt was marked as never dispatched, or None."""
+        return self._never_dispatched.get(attempt)
 
-    def open(self, request: Request, now: float) -> Record:
-        """Open a record for a request's present attempt."""
+    def create(self, request: Request, now: float) -> Record:
+        """Create the record of a request's current attempt and store it under the request's key."""
         reserved = is_reserved(request.arrived.key)
         record = Record(
-            key_of(request),
+            make_request_key(request),
             request.arrived.body_digest,
             request.attempt,
             RecordState.CLAIMING,
@@ -89,18 +94,18 @@
         self._records[record.key] = record
         return record
 
-    def mark_never(self, record: Record, now: float) -> None:
-        """Bind this instance never to dispatch a record's attempt."""
+    def mark_never_dispatched(self, record: Record, now: float) -> None:
+        """Mark a record's attempt as one that this instance will never dispatch."""
         record.state = RecordState.NOT_RUN
         record.at = now
-        self._never[record.attempt] = now
+        self._never_dispatched[record.attempt] = now
 
-    def drop(self, record: Record) -> None:
-        """Forget a record."""
+    def remove(self, record: Record) -> None:
+        """Remove a record."""
         del self._records[record.key]
 
     def make_row(self, record: Record, state: RowState, now: float) -> ClaimRow:
-        """Make the row that says of a record's key what its state is."""
+        """Return a claim row in the given state for a record's key."""
         identity = self._context.identity
         outcome = record.outcome or Outcome(0, "", b"", True)
         return ClaimRow(
@@ -118,46 +123,46 @@
         )
 
     def handle_query(self, sender: str, message: ClaimQuery, now: float) -> None:
-        """Say what became of an attempt, and again when an open one has ended."""
+        """Reply with the state of an attempt, and again when an attempt that is open has ended."""
         reply = ClaimReply(attempt=message.attempt, key=message.key, state=STATE_UNKNOWN)
-        since = self._never.get(message.attempt)
+        since = self._never_dispatched.get(message.attempt)
         record = self._records.get(message.key)
         if since is not None:
-            reply.state = STATE_NEVER
+            reply.state = STATE_NEVER_DISPATCHED
             reply.age = now - since
             self._context.send(sender, reply)
         elif record is not None and record.attempt == message.attempt:
-            if record.open:
+            if record.is_open:
                 record.asking.add(sender)
-            self._answer(sender, record, now)
+            self._send_reply(sender, record, now)
         else:
             self._context.send(sender, reply)
 
-    def answer_asking(self, record: Record, now: float) -> None:
-        """Tell the peers that have asked about a record."""
-        # Sorted, since the order of a set of strings differs from process to process.
+    def reply_to_querying_peers(self, record: Record, now: float) -> None:
+        """Send a record's state to the peers that have queried it."""
+        # Sorted to be deterministic: the iteration order of a set of strings differs by process.
         for peer in sorted(record.asking):
-            self._answer(peer, record, now)
+            self._send_reply(peer, record, now)
         record.asking.clear()
 
-    def trim(self, now: float) -> None:
-        """Forget old records.
+    def evict_old_records(self, now: float) -> None:
+        """Evict closed records that are too old, or too many.
 
-        A reserved key's record is the only proof that the key has run; it is kept for as long as
-        the key is valid, whatever their number.
+        The record of a reserved key is the only proof that the key has run. It is therefore kept
+        for as long as the key is valid, even beyond `max_records`.
         """
         options = self._context.options
         lifetime = max(options.record_lifetime, options.reserved_lifetime) + CLOCK_SKEW
         for key, record in list(self._records.items()):
-            if record.open or record.asking or record.waiting:
+            if record.is_open or record.asking or record.waiting:
                 continue
             too_many = len(self._records) > options.max_records and not record.reserved
             if now - record.at > lifetime or too_many:
                 del self._records[key]
-        for attempt in [a for a, since in self._never.items() if now - since > lifetime]:
-            del self._never[attempt]
+        for attempt in [a for a, since in self._never_dispatched.items() if now - since > lifetime]:
+            del self._never_dispatched[attempt]
 
-    def _answer(self, peer: str, record: Record, now: float) -> None:
+    def _send_reply(self, peer: str, record: Record, now: float) -> None:
         reply = ClaimReply(
             attempt=record.attempt, key=record.key, state=_REPLY_STATES[record.state]
         )
--- a/rhubarbbend/core/claims/_claim_rows.py
+++ b/rhubarbbend/core/claims/_claim_rows.py
@@ -1,4 +1,4 @@
-"""What is known of a key: the row in the table and the record in an instance's memory."""
+"""Data types of a claimed key: its row in the claim table and its record in memory."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 
 
 class RowState(enum.Enum):
-    """State of a claim in the table."""
+    """State of a claim row.
+
+    CLAIMED: the attempt may be dispatched or is running. DONE: the command has run and its outcome
+    is known. UNKNOWN: the command was dispatched and got no answer. NOT_RUN: the key was refused,
+    or its claim abandoned, before the command was dispatched.
+    """
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -25,7 +30,12 @@
 
 
 class ClaimRow(msgspec.Struct, frozen=True):
-    """A claim as stored; `at` in Unix seconds, the outcome only with state DONE."""
+    """A row of the claim table.
+
+    `digest` is the digest of the request's body. `instance` and `incarnation` name the holder.
+    `generation` counts the claims made under the key, 1 for the first. `at` is the time of the
+    write in Unix seconds. The fields of the outcome are set only in state DONE.
+    """
 
     digest: str
     attempt: str
@@ -41,20 +51,24 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """The kept answer of a command; not `kept` when its body was too large."""
+    """The answer of a command; `kept` is false if its body is too large to be stored."""
 
     status: int
     content_type: str
     body: bytes
     kept: bool
 
-    def trim(self) -> Outcome:
-        """Drop the body of an outcome that is too large to keep."""
+    def drop_unkept_body(self) -> Outcome:
+        """Return the outcome to be stored, without the body if that is too large."""
         return self if self.kept else Outcome(self.status, self.content_type, b"", False)
 
 
 class RecordState(enum.Enum):
-    """State of a key in the memory of the instance that runs it."""
+    """State of the record of a key that this instance has claimed.
+
+    CLAIMING: the claim is not confirmed yet. RUNNING: the attempt may be dispatched or has been.
+    The others are as in `RowState`.
+    """
 
     CLAIMING = "claiming"
     RUNNING = "running"
@@ -65,10 +79,13 @@
 
 @attrs.define(slots=True)
 class Record:
-    """What this instance knows of one key that it claims or has claimed.
+    """The in-memory record of one key that this instance is claiming or has claimed.
 
-    `won` says that no other instance may have run the key: its claim was seen in the table, or
-    it is a reserved key of this instance. Invariant: once NOT_RUN, `attempt` is never dispatched.
+    `at` is the local time of creation or of the last change of state. `version` is the version of
+    the claim row, 0 until it is known. `won` is true if no other instance can have run the key:
+    the claim has been read back from the table, or the key is a reserved key of this instance.
+    `waiting` holds the ids of local requests that wait for the outcome, `asking` the peers that
+    have queried it. Invariant: once the state is NOT_RUN, `attempt` is never dispatched.
     """
 
     key: str
@@ -85,13 +102,13 @@
     asking: set[str] = attrs.Factory(set)
 
     @property
-    def open(self) -> bool:
-        """Whether its attempt may still be dispatched or is running."""
+    def is_open(self) -> bool:
+        """Whether the attempt may still be dispatched or is running."""
         return self.state in (RecordState.CLAIMING, RecordState.RUNNING)
 
 
 class WritePurpose(enum.Enum):
-    """Why a claim row is written."""
+    """Why a claim row is written: to claim a key, to refuse it, or to record an outcome."""
 
     CLAIM = "claim"
     REFUSE = "refuse"
@@ -100,7 +117,13 @@
 
 @attrs.define(slots=True)
 class PendingWrite:
-    """One row on its way to the table; `since` is when the row was made, in local time."""
+    """A claim row that is queued to be written or in flight.
+
+    `expect` is the row version that the table must hold, 0 for no row. `request` is the id of the
+    request that waits for the write, empty for an outcome. `since` is the local time at which the
+    row was created. `code` is the error with which the request is refused: by a refusal, or by a
+    claim that cannot be confirmed.
+    """
 
     purpose: WritePurpose
     key: str
@@ -112,16 +135,19 @@
 
 
 def make_key(account: str, key: str) -> str:
-    """Make the table key of an account's idempotency key.
+    """Return the table key of an account's idempotency key.
 
-    Names and keys may hold any separator, so the length of the name keeps one account's key from
-    being taken for another's.
+    Account names and idempotency keys may contain any separator. The name is therefore prefixed
+    with its length, so that two accounts never share a table key.
     """
     return f"{len(account)}/{account}/{key}"
 
 
 def split_key(table_key: str) -> tuple[str, str]:
-    """Give the account and the idempotency key of a table key; no account if it is malformed."""
+    """Return the account and the idempotency key of a table key.
+
+    The account of a malformed table key is empty, and the table key is returned unchanged.
+    """
     length, _, rest = table_key.partition("/")
     if not length.isdecimal() or rest[int(length) : int(length) + 1] != "/":
         return "", table_key
@@ -129,17 +155,17 @@
 
 
 def decode_row(row: events.Row) -> ClaimRow | None:
-    """Decode a stored claim; None if it is not one."""
+    """Decode a row of the claim table; None if its value is not a valid claim."""
     try:
         return msgspec.json.decode(row.value, type=ClaimRow)
     except msgspec.MsgspecError:
         return None
 
 
-def judge_state(state: RecordState | RowState) -> Verdict:
-    """Give the verdict on a key for a request that is in conflict with it.
+def compute_conflict_verdict(state: RecordState | RowState) -> Verdict:
+    """Return the verdict for a request that reuses a key with another body.
 
-    A state of "not run" is not passed on: a request of its own body may be about to run it.
+    NOT_RUN is not reported: a request with the original body may be about to run under the key.
     """
     done = state in (RecordState.DONE, RowState.DONE)
     return Verdict.RAN if done else Verdict.MAY_HAVE_RUN
--- a/rhubarbbend/core/claims/_key_issuer.py
+++ b/rhubarbbend/core/claims/_key_issuer.py
@@ -1,4 +1,4 @@
-"""Issues reserved keys, and reads what those of the fleet say."""
+"""Issues reserved keys, and decodes and checks those that instances of the fleet have issued."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
 
 class KeyIssuer:
-    """Invariant: no two keys of one incarnation have the same number."""
+    """Issuer of this instance's reserved keys.
+
+    Invariant: no two keys of one incarnation have the same number.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._next_number = 0
 
     def issue(self, account: str, count: int, now: float) -> list[str]:
-        """Issue keys for an account."""
+        """Return `count` new keys for an account, valid for `reserved_lifetime` from now on."""
         identity = self._context.identity
         lifetime = self._context.options.reserved_lifetime
         expires = int(self._context.read_wall(now) + lifetime)
@@ -30,18 +33,18 @@
         self._context.count(codes.RESERVED_ISSUED, count)
         return keys
 
-    def read(self, request: Request) -> ReservedKey | None:
-        """Read a request's key; None if it is not one of this fleet for the account."""
-        found = decode_reserved(
+    def decode(self, request: Request) -> ReservedKey | None:
+        """Decode a request's key; None unless this fleet issued it for the request's account."""
+        decoded = decode_reserved(
             self._context.identity.secret, request.account.name, request.arrived.key
         )
-        return found.unwrap() if isinstance(found, Success) else None
+        return decoded.unwrap() if isinstance(decoded, Success) else None
 
     def is_own(self, key: ReservedKey) -> bool:
-        """Whether this very incarnation issued a key."""
+        """Whether the current incarnation of this instance issued a key."""
         identity = self._context.identity
         return key.issuer == identity.instance and key.incarnation == identity.incarnation
 
     def is_expired(self, key: ReservedKey, now: float) -> bool:
-        """Whether a key's record may have been forgotten."""
+        """Whether a key has expired; its record may then have been evicted."""
         return key.expires < self._context.read_wall(now)
--- a/rhubarbbend/core/claims/_keys.py
+++ b/rhubarbbend/core/claims/_keys.py
@@ -1,8 +1,9 @@
-"""Idempotency keys: their limits, and reserved keys, which name the instance that may run them.
+"""Validation of idempotency keys, and encoding of reserved keys.
 
-A reserved key is issued beforehand and carries its issuer and the issuer's incarnation, signed.
-Only that incarnation may dispatch a command under it, and it knows from memory whether it has;
-so commands go on at most once while the table service cannot be reached.
+A reserved key is an idempotency key that an instance has issued in advance. It is signed and
+contains its issuer and the issuer's incarnation. Only that incarnation may dispatch a command under
+it, and it knows from memory whether it has done so. Commands therefore still run at most once while
+the table service is unreachable.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class ReservedKey(msgspec.Struct, frozen=True):
-    """What a reserved key says; `expires` in Unix seconds."""
+    """The decoded content of a reserved key; `expires` in Unix seconds."""
 
     issuer: str
     incarnation: int
@@ -29,12 +30,12 @@
 
 
 def is_valid_key(key: str) -> bool:
-    """Whether a key fits: printable ASCII without spaces, of bounded length."""
+    """Whether a key is printable ASCII without spaces, of 1 to MAX_KEY_CHARS characters."""
     return 0 < len(key) <= MAX_KEY_CHARS and all("!" <= char <= "~" for char in key)
 
 
 def is_reserved(key: str) -> bool:
-    """Whether a key claims to be a reserved one."""
+    """Whether a key has the prefix of reserved keys; its signature is not checked."""
     return key.startswith(RESERVED_PREFIX)
 
 
@@ -44,19 +45,21 @@
 
 
 def encode_reserved(secret: bytes, account: str, key: ReservedKey) -> str:
-    """Write and sign a reserved key for one account."""
+    """Encode a reserved key and sign it for one account."""
     payload = f"{RESERVED_PREFIX}{key.issuer}.{key.incarnation:x}.{key.number:x}.{key.expires:x}"
     return f"{payload}.{_sign(secret, account, payload)}"
 
 
 def decode_reserved(secret: bytes, account: str, text: str) -> Result[ReservedKey, str]:
-    """Read a reserved key; the failure says what is wrong with it."""
+    """Decode a reserved key and check its signature; the failure is a description of the error."""
     payload, _, signature = text.rpartition(".")
     expected = _sign(secret, account, payload)
     if not hmac.compare_digest(signature.encode(), expected.encode()):
-        return Failure("the signature does not fit")
+        return Failure("the signature of the reserved key does not match the account and payload")
     try:
         issuer, incarnation, number, expires = payload[len(RESERVED_PREFIX) :].rsplit(".", 3)
         return Success(ReservedKey(issuer, int(incarnation, 16), int(number, 16), int(expires, 16)))
     except ValueError:
-        return Failure("the key is malformed")
+        return Failure(
+            "the reserved key is malformed: expected issuer, incarnation, number, expiry"
+        )
--- a/rhubarbbend/core/claims/_reserved.py
+++ b/rhubarbbend/core/claims/_reserved.py
@@ -1,4 +1,8 @@
-"""Commands under reserved keys: run by the instance that issued the key, whoever was asked."""
+"""Commands under reserved keys, which are run by the instance that issued the key.
+
+An instance that receives such a command from a caller forwards it to the issuer and relays the
+issuer's answer.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +23,17 @@
 from rhubarbbend.core.requests._request_table import RequestTable
 from rhubarbbend.core.requests._requests import Phase, Request
 
-MAX_KEYS_AT_ONCE: Final = 100
+MAX_KEYS_PER_REQUEST: Final = 100
 
 Admit = Callable[[events.RequestArrived, Account, float], None]
 Route = Callable[[Request, float], None]
 
 
 class ReservedCommands:
-    """Issues reserved keys and brings commands to their issuers."""
+    """Issues reserved keys, and runs commands under them or forwards them to their issuers.
+
+    `admit` admits a command forwarded by a peer, `route` routes a command that runs here.
+    """
 
     def __init__(
         self,
@@ -46,25 +53,25 @@
         self._route = route
 
     def handle_keys(self, event: events.KeysRequested, now: float) -> None:
-        """Issue keys to a caller."""
+        """Issue reserved keys to a caller, at most MAX_KEYS_PER_REQUEST at once."""
         account = self._context.configuration.accounts.get(event.key_digest)
         if account is None:
             self._answers.reject(event.request, "", codes.UNAUTHORIZED, now)
         elif self._context.stopping:
             self._answers.reject(event.request, "", codes.STOPPING, now)
-        elif not 1 <= event.count <= MAX_KEYS_AT_ONCE:
+        elif not 1 <= event.count <= MAX_KEYS_PER_REQUEST:
             self._answers.reject(event.request, "", codes.BAD_REQUEST, now)
         else:
             keys = self._issuer.issue(account.name, event.count, now)
             self._context.emit(actions.GiveKeys(event.request, keys))
 
     def open(self, request: Request, now: float) -> None:
-        """Run a command here if this incarnation issued its key, else ask the issuer to."""
-        key = self._issuer.read(request)
+        """Run a command here if this incarnation issued its key, else forward it to the issuer."""
+        key = self._issuer.decode(request)
         if key is None:
             self._answers.refuse(request, codes.KEY_INVALID, Verdict.NOT_RUN, now)
         elif self._issuer.is_expired(key, now):
-            # Its record may be gone already, so whether it has run is not known any more.
+            # The key's record may be evicted already, so whether the command has run is not known.
             self._answers.refuse(request, codes.ISSUER_GONE, Verdict.MAY_HAVE_RUN, now)
         elif self._issuer.is_own(key):
             self._route(request, now)
@@ -74,7 +81,7 @@
             self._forward(request, key, now)
 
     def handle_run(self, sender: str, message: ReservedRun, now: float) -> None:
-        """Run a command that a peer was asked for."""
+        """Admit a command that a peer has forwarded."""
         accounts = self._context.configuration.accounts.values()
         account = next((a for a in accounts if a.name == message.account), None)
         event = events.RequestArrived(
@@ -96,21 +103,24 @@
         self._admit(event, account, now)
 
     def handle_reply(self, sender: str, message: ReservedReply, now: float) -> None:
-        """Pass the issuer's answer on; an answer to another request finds none that waits."""
+        """Relay the issuer's answer to the caller.
+
+        A reply to any attempt but one that waits for this issuer is ignored.
+        """
         request = self._table.find_attempt(message.request)
         if request is None or request.phase is not Phase.FORWARDED:
             return
         if request.asked_owner != sender:
             return
         if message.error:
-            verdict = self._read_verdict(message, now)
+            verdict = self._compute_verdict(message, now)
             self._answers.refuse(request, codes.find_error(message.error), verdict, now)
             return
         outcome = Outcome(message.status, message.content_type, message.body, True)
         self._answers.reply(request, outcome, message.replayed, now)
 
     def handle_lost(self, peer: str, now: float) -> None:
-        """Answer the requests that wait for an issuer that cannot be reached."""
+        """Refuse the requests that wait for an unreachable issuer; their outcome is unknown."""
         for request in self._table.list_all():
             if request.phase is Phase.FORWARDED and request.asked_owner == peer:
                 self._answers.refuse(request, codes.OUTCOME_UNKNOWN, Verdict.MAY_HAVE_RUN, now)
@@ -123,7 +133,8 @@
         request.phase = Phase.FORWARDED
         request.asked_owner = key.issuer
         request.sent = True
-        # Callers choose request ids; a late reply must not fit a second request of the same id.
+        # Callers choose request ids, so two requests may have the same one. The attempt id keeps a
+        # late reply to the first from being taken for a reply to the second.
         self._table.set_attempt(request, self._table.make_attempt())
         arrived = request.arrived
         message = ReservedRun(
@@ -142,10 +153,11 @@
             actions.SendReserved(request.id, key.issuer, view.host, view.peer_port, message)
         )
 
-    def _read_verdict(self, message: ReservedReply, now: float) -> Verdict:
-        """Pass "not run" on only while the issuer holds later requests back.
+    def _compute_verdict(self, message: ReservedReply, now: float) -> Verdict:
+        """Return the issuer's verdict, with "not run" relayed only while it is sure to be true.
 
-        An answer that was under way for longer may be overtaken by a run of a later request.
+        After a refusal the issuer refuses later requests under the key for a limited time. A reply
+        that took longer may be overtaken by the run of a later request.
         """
         try:
             verdict = Verdict(message.verdict)
