--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -1,4 +1,8 @@
-"""Claims: at most one run under a key, and "not run" only where it is true."""
+"""Tests of claims: at most one run under an idempotency key, and "not run" only if it is true.
+
+The tests order table writes, messages and runs by hand through `World`. Its instances are named
+after their zones: `a1` is in zone `a`, `b1` in zone `b`.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +10,17 @@
 from rhubarbbend.core.claims._claim_rows import make_key
 from tests.core.fakes import World
 
-ONE = {"a1": "a"}
-TWO = {"a1": "a", "b1": "b"}
+ONE_INSTANCE = {"a1": "a"}
+TWO_INSTANCES = {"a1": "a", "b1": "b"}
+
 
+def test_lost_answer_to_an_applied_claim_write_leads_to_one_run() -> None:
+    """Guard against a second run, or none, when the answer to an applied claim write is lost.
 
-def test_lost_answer_after_the_write_took_effect_runs_once() -> None:
-    """The caller gets its answer a little later. The claim is written, its answer is lost, the
-    same insert is sent again, finds its own row, and only then the command is dispatched."""
-    world = World(ONE)
+    The same insert is sent again and finds its own row. Only then is the command dispatched, and
+    the caller gets its answer a little later.
+    """
+    world = World(ONE_INSTANCE)
     world.send("a1", "r1", "k1")
     first = world.writes[0]
     world.apply(first)
@@ -25,36 +32,43 @@
     assert world.read_answer("r1").body == b"done"
 
 
-def test_waiter_on_a_claim_never_seen_is_not_told_not_run() -> None:
-    """The key runs through b1. Meanwhile a1 gets it twice and cannot reach the table. Both
-    callers of a1 are in doubt: that a1 never ran the key says nothing of b1."""
-    world = World(TWO)
+def test_request_waiting_on_an_unconfirmed_claim_is_not_told_not_run() -> None:
+    """Guard against a false "not run" from an instance that could not confirm its claim.
+
+    The command runs at b1. Meanwhile a1 gets two requests under its key and cannot reach the table.
+    Both are told "may have run": that a1 never ran the command proves nothing about b1.
+    """
+    world = World(TWO_INSTANCES)
     world.send("b1", "r0", "k1")
     world.answer(world.writes[0])
     world.send("a1", "r1", "k1")
     world.send("a1", "r2", "k1")
     for _ in range(4):
-        mine = [write for write in world.writes if write.instance == "a1"]
-        if not mine:
+        a1_writes = [write for write in world.writes if write.instance == "a1"]
+        if not a1_writes:
             break
         world.advance(0.6)
-        world.lose(mine[0])
+        world.lose(a1_writes[0])
     assert world.read_answer("r1").verdict == "may_have_run"
     assert world.read_answer("r2").verdict == "may_have_run"
 
 
 def test_refusal_written_before_a_long_pause_is_not_final() -> None:
-    """No target is ready, so a1 writes a refusal and is frozen before its answer comes. After the
-    hold a second request takes the key at b1 and runs. a1 wakes: it must not say "not run"."""
-    world = World(TWO)
-    _close_targets(world, "a1")
+    """Guard against a "not run" that has become false while the process was paused.
+
+    No target is ready, so a1 writes a refusal and is frozen before the answer to the write comes.
+    When the refusal no longer blocks the key, a second request claims it at b1 and runs. After its
+    pause a1 must not report "not run".
+    """
+    world = World(TWO_INSTANCES)
+    _mark_targets_down(world, "a1")
     world.send("a1", "r1", "k1", deadline=60.0)
     world.apply(world.writes[0])
     world.freeze("a1")
     world.answer(world.writes[0])
     world.advance(5.0)
     world.send("b1", "r2", "k1")
-    # b1 may have asked a1 for a slot; it waits for an answer that does not come.
+    # b1 may have requested a slot from a1 and wait for a reply that never comes.
     for _ in range(2):
         world.advance(12.0)
         world.answer(world.writes[0])
@@ -63,31 +77,37 @@
     assert world.read_answer("r1").verdict == "may_have_run"
 
 
-def test_refusal_that_meets_an_old_refusal_is_written_again() -> None:
-    """The key was refused long ago. Now r2, at an instance with a slot, is about to take it, and
-    r3 is refused for lack of one. If r3 is told "not run", r2 must not run after that."""
-    world = World(TWO)
-    _close_targets(world, "a1")
+def test_refusal_that_finds_an_old_refusal_is_written_again() -> None:
+    """Guard against a "not run" that relies on an old refusal and becomes false at once.
+
+    The key was refused long ago. r2, at an instance with a slot, is about to claim it, and r3 is
+    refused for lack of a slot. If r3 is told "not run", r2 must not run afterwards.
+    """
+    world = World(TWO_INSTANCES)
+    _mark_targets_down(world, "a1")
     world.send("a1", "r1", "k1")
     world.settle()
     assert world.read_answer("r1").verdict == "not_run"
     world.advance(10.0)
     world.send("b1", "r2", "k1")
     world.answer(world.writes[0])
-    taking = world.writes[0]
+    claim_write = world.writes[0]
     world.send("a1", "r3", "k1")
-    mine = [write for write in world.writes if write.instance == "a1"]
-    world.answer(mine[0])
-    world.answer(taking)
+    a1_writes = [write for write in world.writes if write.instance == "a1"]
+    world.answer(a1_writes[0])
+    world.answer(claim_write)
     world.settle()
-    told = [answer.verdict for answer in world.answers["r3"]]
-    assert not (world.runs and "not_run" in told)
+    verdicts = [answer.verdict for answer in world.answers["r3"]]
+    assert not (world.runs and "not_run" in verdicts)
+
 
+def test_command_keeps_running_after_its_callers_deadline() -> None:
+    """Guard against losing the outcome of a command that outlasts its caller's deadline.
 
-def test_command_goes_on_when_its_callers_deadline_passes() -> None:
-    """The caller is told that its command may have run. The target answers later; asked again
-    under the key, the caller gets that answer."""
-    world = World(ONE)
+    The caller is told that its command may have run. The target answers later, and a second
+    request under the key gets that answer.
+    """
+    world = World(ONE_INSTANCE)
     world.send("a1", "r1", "k1", deadline=2.0)
     world.settle()
     world.advance(3.0)
@@ -99,10 +119,12 @@
     assert world.cores["a1"].entry.count_open() == 0
 
 
-def test_command_goes_on_when_its_caller_leaves() -> None:
-    """The caller leaves and asks again under the same request id and key while the command
-    runs: it gets the answer of the one run."""
-    world = World(ONE)
+def test_command_keeps_running_after_its_caller_disconnects() -> None:
+    """Guard against a second run when a caller disconnects and retries during the first.
+
+    The retry has the same request id and key, and gets the answer of the one run.
+    """
+    world = World(ONE_INSTANCE)
     world.send("a1", "r1", "k1")
     world.settle()
     world.feed("a1", events.CallerLeft("r1"))
@@ -112,10 +134,14 @@
     assert not world.runs
 
 
-def test_claim_given_up_runs_for_a_later_request_elsewhere() -> None:
-    """a1 loses the answer of its claim until it gives up: its caller is in doubt. The caller asks
-    b1, which finds a1's claim and asks a1. a1 says that it never dispatches it, so b1 runs it."""
-    world = World(TWO)
+def test_abandoned_claim_lets_a_later_request_run_at_another_instance() -> None:
+    """Guard against a key that stays blocked by a claim whose attempt was abandoned.
+
+    a1 gets no answer to its claim write and gives up, and its caller is told "may have run". The
+    caller retries at b1, which finds a1's claim and queries a1. a1 replies that it will never
+    dispatch the attempt, so b1 runs the command.
+    """
+    world = World(TWO_INSTANCES)
     world.send("a1", "r1", "k1")
     world.apply(world.writes[0])
     while world.writes:
@@ -131,9 +157,12 @@
 
 
 def test_another_body_under_the_key_is_a_conflict() -> None:
-    """The second caller used the first one's key with another body. It is refused for that, and
-    is not told that the key has not run: the first body may be about to."""
-    world = World(TWO)
+    """Guard against a run, or the verdict "not run", for a key that is reused with another body.
+
+    The second request is refused for the reuse. It is not told "not run", because the request with
+    the first body may be about to run.
+    """
+    world = World(TWO_INSTANCES)
     world.send("a1", "r1", "k1", body="one")
     world.send("a1", "r2", "k1", body="two")
     assert world.read_answer("r2").code == "idempotency_key_reused"
@@ -145,10 +174,12 @@
     assert len(world.runs) == 1
 
 
-def test_keys_of_two_accounts_never_meet() -> None:
-    """Two accounts send the same key; and one account's name and key, joined, read like the
-    other's."""
-    world = World(ONE)
+def test_keys_of_two_accounts_never_collide() -> None:
+    """Guard against two client accounts sharing a table key.
+
+    They send the same key. And one account's name and key, joined, read like the other's.
+    """
+    world = World(ONE_INSTANCE)
     world.send("a1", "r1", "k1", account="agents")
     world.send("a1", "r2", "k1")
     world.settle()
@@ -156,33 +187,39 @@
     assert make_key("a", "b/c") != make_key("a/b", "c")
 
 
-def test_replaced_instance_runs_nothing_of_its_former_self() -> None:
-    """a1 is replaced with a command claimed and one reserved key handed out. Its successor of the
-    same name knows of neither: both are in doubt and neither is run."""
-    world = World(ONE)
+def test_replacement_instance_runs_no_command_of_its_predecessor() -> None:
+    """Guard against a second run by a replacement that has lost its predecessor's records.
+
+    a1 is replaced after it has claimed a command and issued a reserved key. Its successor of the
+    same name has no record of either: both are told "may have run" and neither is run.
+    """
+    world = World(ONE_INSTANCE)
     key = world.reserve("a1")
     world.send("a1", "r1", "k1")
     world.answer(world.writes[0])
     assert len(world.runs) == 1
     world.start("a1", 2)
     world.advance(2.0)
-    for request, again in (("r2", "k1"), ("r3", key)):
-        world.send("a1", request, again)
+    for request, reused_key in (("r2", "k1"), ("r3", key)):
+        world.send("a1", request, reused_key)
         world.settle()
         assert world.read_answer(request).verdict == "may_have_run"
     assert not world.runs
 
 
-def test_reserved_refusal_holds_back_what_comes_while_it_is_under_way() -> None:
-    """The issuer's "not run" is on its way to a caller at another instance. A request under the
-    key that comes to the issuer meanwhile does not run, so the refusal is true when it is told."""
-    world = World(TWO, hold_messages=True)
+def test_reserved_key_refusal_blocks_requests_that_arrive_while_it_is_in_flight() -> None:
+    """Guard against a "not run" of a reserved key that becomes false before the caller gets it.
+
+    The issuer's refusal is in flight to a caller at another instance. A request under the key that
+    reaches the issuer meanwhile does not run.
+    """
+    world = World(TWO_INSTANCES, hold_messages=True)
     key = world.reserve("a1")
-    _close_targets(world, "a1")
+    _mark_targets_down(world, "a1")
     world.send("b1", "r1", key)
     world.deliver(world.messages[0])
     world.advance(0.5)
-    _open_targets(world, "a1")
+    _mark_targets_up(world, "a1")
     world.send("a1", "r2", key)
     world.deliver(world.messages[0])
     assert world.read_answer("r1").verdict == "not_run"
@@ -190,27 +227,33 @@
 
 
 def test_request_from_before_a_refusal_does_not_run_after_it() -> None:
-    """r2 waits for its slot at b1 when r1 is refused at a1 with "not run". r2 came first, so it
-    must not take the key when its slot comes."""
-    world = World(TWO)
+    """Guard against a "not run" that an earlier request under the key makes false.
+
+    r2 is still waiting at b1 when r1 is refused at a1 with "not run". r2 arrived before that, so it
+    must not claim the key afterwards.
+    """
+    world = World(TWO_INSTANCES)
     world.feed("b1", events.TimerDue())
     world.send("b1", "r2", "k1")
-    waiting = world.writes.pop(0)
-    _close_targets(world, "a1")
+    delayed_write = world.writes.pop(0)
+    _mark_targets_down(world, "a1")
     world.send("a1", "r1", "k1")
     world.answer(world.writes[0])
     assert world.read_answer("r1").verdict == "not_run"
     world.advance(0.2)
-    world.writes.append(waiting)
+    world.writes.append(delayed_write)
     world.settle()
     assert not world.runs
     assert world.read_answer("r2").verdict == "not_run"
 
 
-def test_request_from_before_a_claim_was_given_up_is_left_in_doubt() -> None:
-    """a1 gave its claim up when its caller left. r2 came before that and learns it late; r3 came
-    after and may take the key at any moment, so r2 is not told "not run"."""
-    world = World(TWO, hold_messages=True)
+def test_request_from_before_a_claim_was_abandoned_is_told_may_have_run() -> None:
+    """Guard against a "not run" that a later request under the key may make false.
+
+    a1 abandoned its claim when its caller left. r2 arrived before that and gets a1's reply late. A
+    later request may claim the key at any moment, so r2 is not told "not run".
+    """
+    world = World(TWO_INSTANCES, hold_messages=True)
     world.send("a1", "r1", "k1")
     world.apply(world.writes[0])
     world.send("b1", "r2", "k1")
@@ -222,19 +265,21 @@
     assert world.read_answer("r2").verdict == "may_have_run"
 
 
-def test_late_reply_to_a_forwarded_command_fits_no_other() -> None:
-    """A caller gives up a command under a reserved key that its instance forwarded, and sends
-    another under the same request id. The first one's reply comes late: it is not taken for the
-    second's."""
-    world = World(TWO, hold_messages=True)
+def test_late_reply_to_a_forwarded_command_does_not_answer_another() -> None:
+    """Guard against a late reply that answers another command with the same request id.
+
+    A caller abandons a command under a reserved key that its instance has forwarded, and sends
+    another under the same request id. The late reply to the first must not answer the second.
+    """
+    world = World(TWO_INSTANCES, hold_messages=True)
     first, second = world.reserve("b1"), world.reserve("b1")
     world.send("a1", "r1", first)
     world.deliver(world.messages[0])
     world.feed("a1", events.CallerLeft("r1"))
     world.send("a1", "r1", second)
     world.finish(world.runs[0], b"first")
-    late = next(m for m in world.messages if m.peer == "a1")
-    world.deliver(late)
+    late_reply = next(m for m in world.messages if m.peer == "a1")
+    world.deliver(late_reply)
     assert not world.answers["r1"]
     world.deliver(world.messages[0])
     world.finish(world.runs[0], b"second")
@@ -242,17 +287,20 @@
     assert world.read_answer("r1").body == b"second"
 
 
-def test_reserved_refusal_holds_back_what_came_before_it() -> None:
-    """The issuer refuses a reserved key for lack of a slot. A command under it that another
-    instance forwarded before that arrives afterwards: it does not run."""
-    world = World(TWO, hold_messages=True)
+def test_reserved_key_refusal_blocks_requests_forwarded_before_it() -> None:
+    """Guard against a "not run" of a reserved key that a delayed command makes false.
+
+    The issuer refuses the key for lack of a slot. A command under it that another instance
+    forwarded before the refusal arrives after it, and must not run.
+    """
+    world = World(TWO_INSTANCES, hold_messages=True)
     key = world.reserve("a1")
     world.send("b1", "r1", key)
-    _close_targets(world, "a1")
+    _mark_targets_down(world, "a1")
     world.advance(0.3)
     world.send("a1", "r2", key)
     assert world.read_answer("r2").verdict == "not_run"
-    _open_targets(world, "a1")
+    _mark_targets_up(world, "a1")
     world.advance(3.0)
     world.deliver(world.messages[0])
     assert not world.runs
@@ -260,27 +308,33 @@
     assert len(world.runs) == 1
 
 
-def test_late_reserved_refusal_is_not_passed_on() -> None:
-    """The issuer's "not run" is under way for long. A later request runs the key meanwhile, so
-    the caller that waits for the refusal is told that the key may have run."""
-    world = World(TWO, hold_messages=True)
+def test_late_refusal_of_a_reserved_key_is_not_relayed() -> None:
+    """Guard against relaying a "not run" that has become false in flight.
+
+    The issuer's refusal is delayed, and a later request runs under the key meanwhile. The caller
+    that waits for the refusal is told that the key may have run.
+    """
+    world = World(TWO_INSTANCES, hold_messages=True)
     key = world.reserve("a1")
-    _close_targets(world, "a1")
+    _mark_targets_down(world, "a1")
     world.send("b1", "r1", key)
     world.deliver(world.messages[0])
-    late = world.messages[0]
+    late_refusal = world.messages[0]
     world.advance(5.0)
-    _open_targets(world, "a1")
+    _mark_targets_up(world, "a1")
     world.send("a1", "r2", key)
     assert len(world.runs) == 1
-    world.deliver(late)
+    world.deliver(late_refusal)
     assert world.read_answer("r1").verdict == "may_have_run"
 
 
 def test_large_outcome_is_not_kept_in_memory() -> None:
-    """The answer is too large to keep. Its caller gets it whole; asked again, the fleet says that
-    the command ran and that the answer was not kept, and holds no copy of it."""
-    world = World(ONE)
+    """Guard against storing answers that are too large to keep.
+
+    The caller gets the whole answer. A second request under the key is told that the command ran
+    and that its answer was not kept, and no copy of the body is written.
+    """
+    world = World(ONE_INSTANCE)
     world.send("a1", "r1", "k1")
     world.settle()
     run = world.runs.pop()
@@ -292,12 +346,13 @@
     assert all(len(entry.value) < 1_000 for write in world.writes for entry in write.action.writes)
 
 
-def _open_targets(world: World, name: str) -> None:
+def _mark_targets_up(world: World, name: str) -> None:
+    """Mark every target as up in the view of one instance."""
     for view in world.cores[name].context.fleet.targets.values():
         view.down_until = 0.0
 
 
-def _close_targets(world: World, name: str) -> None:
-    """Let an instance believe that every target has just failed."""
+def _mark_targets_down(world: World, name: str) -> None:
+    """Mark every target as down in the view of one instance."""
     for view in world.cores[name].context.fleet.targets.values():
         view.down_until = world.now + 1_000.0
--- a/tests/core/claims/test_claims_model.py
+++ b/tests/core/claims/test_claims_model.py
@@ -1,4 +1,8 @@
-"""Random orders of events against the promise: one run under a key, "not run" only if true."""
+"""Property test of claims: a key runs at most once and "not run" is true in any event order.
+
+Hypothesis generates sequences of requests, table answers, messages, runs and faults, which are
+executed against the cores of three instances.
+"""
 
 from __future__ import annotations
 
@@ -12,46 +16,46 @@
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 SKEWS = (0.0, 0.2, -0.2)
-STEPS = st.lists(st.tuples(st.integers(0, 15), st.integers(0, 63)), min_size=40, max_size=140)
+STEP_LISTS = st.lists(st.tuples(st.integers(0, 15), st.integers(0, 63)), min_size=40, max_size=140)
 
 
-class Trial:
-    """One order of events, and what the targets ran in it."""
+class EventSequence:
+    """One sequence of events, and what the targets ran in its course."""
 
     def __init__(self) -> None:
         self.world = World(ZONES, skews=SKEWS, hold_messages=True)
         self.names = list(ZONES)
         self.keys = ["k1", "k2", self.world.reserve("a1"), self.world.reserve("b1")]
         self.runs: Counter[str] = Counter()
-        self.run_by: dict[str, list[int]] = {}
+        self.run_steps_by_key: dict[str, list[int]] = {}
         self.incarnation = 1
         self.sent = 0
-        self.moves: list[Callable[[int], None]] = [
-            self._send,
-            self._send,
-            self._answer,
-            self._answer,
-            self._answer,
-            self._apply,
-            self._lose,
-            self._deliver,
-            self._deliver,
-            self._deliver,
-            self._drop,
-            self._run,
-            self._run,
-            self._fail,
-            self._pass_time,
-            self._disturb,
+        self.step_kinds: list[Callable[[int], None]] = [
+            self._send_request,
+            self._send_request,
+            self._answer_write,
+            self._answer_write,
+            self._answer_write,
+            self._apply_write,
+            self._lose_write_answer,
+            self._deliver_message,
+            self._deliver_message,
+            self._deliver_message,
+            self._drop_message,
+            self._finish_run,
+            self._finish_run,
+            self._fail_run,
+            self._advance_time,
+            self._disrupt_instance,
         ]
 
-    def do(self, move: int, choice: int) -> None:
-        """Do one step and check the promise."""
-        self.moves[move](choice)
-        self.check()
+    def run_step(self, step_kind: int, choice: int) -> None:
+        """Execute one step and check the guarantees."""
+        self.step_kinds[step_kind](choice)
+        self.check_guarantees()
 
-    def check(self) -> None:
-        """Check every answer given so far."""
+    def check_guarantees(self) -> None:
+        """Check every run and every answer so far."""
         assert all(count == 1 for count in self.runs.values()), self.runs
         for request, answers in self.world.answers.items():
             if request not in self.world.arrived:
@@ -60,12 +64,14 @@
             key = self.world.arrived[request][1]
             for answer in answers:
                 if answer.verdict == "not_run":
-                    late = [at for at in self.run_by.get(key, ()) if at < answer.step]
-                    assert not late, f"{request} was told not run; {key} ran"
+                    earlier_runs = [
+                        at for at in self.run_steps_by_key.get(key, ()) if at < answer.step
+                    ]
+                    assert not earlier_runs, f"{request} was told not run; {key} ran"
                 elif not answer.code:
                     assert answer.body == key.encode()
 
-    def _send(self, choice: int) -> None:
+    def _send_request(self, choice: int) -> None:
         if self.sent >= 12:
             return
         self.sent += 1
@@ -74,54 +80,54 @@
         deadline = (1.0, 8.0, 40.0, 90.0)[choice // 12 % 4]
         self.world.send(name, f"r{self.sent}", key, body=key, deadline=deadline)
 
-    def _answer(self, choice: int) -> None:
+    def _answer_write(self, choice: int) -> None:
         if self.world.writes:
             self.world.answer(self.world.writes[choice % len(self.world.writes)])
 
-    def _apply(self, choice: int) -> None:
+    def _apply_write(self, choice: int) -> None:
         if self.world.writes:
             self.world.apply(self.world.writes[choice % len(self.world.writes)])
 
-    def _lose(self, choice: int) -> None:
+    def _lose_write_answer(self, choice: int) -> None:
         if self.world.writes:
             self.world.lose(self.world.writes[choice % len(self.world.writes)])
 
-    def _deliver(self, choice: int) -> None:
+    def _deliver_message(self, choice: int) -> None:
         if self.world.messages:
             self.world.deliver(self.world.messages[choice % len(self.world.messages)])
 
-    def _drop(self, choice: int) -> None:
+    def _drop_message(self, choice: int) -> None:
         if self.world.messages:
             self.world.messages.pop(choice % len(self.world.messages))
 
-    def _run(self, choice: int) -> None:
+    def _finish_run(self, choice: int) -> None:
         run = self._pick_run(choice)
         if run is not None:
-            key = self._count(run)
+            key = self._record_run(run)
             self.world.finish(run, key.encode())
 
-    def _fail(self, choice: int) -> None:
-        """Fail an attempt: before a byte went out, or after, with or without a run."""
+    def _fail_run(self, choice: int) -> None:
+        """Fail an attempt: before a byte was sent, or afterwards, with or without a run."""
         run = self._pick_run(choice)
         if run is None:
             return
         stage = ("connect", "sent", "sent")[choice // 8 % 3]
         if choice // 8 % 3 == 2:
-            self._count(run)
+            self._record_run(run)
         self.world.fail(run, stage)
 
-    def _pass_time(self, choice: int) -> None:
+    def _advance_time(self, choice: int) -> None:
         self.world.advance((0.3, 1.0, 2.5, 12.0)[choice % 4])
 
-    def _disturb(self, choice: int) -> None:
-        """Freeze, thaw or replace an instance, or hide the targets from it."""
+    def _disrupt_instance(self, choice: int) -> None:
+        """Freeze, thaw or replace an instance, or mark the targets as down in its view."""
         name = self.names[choice % 3]
-        kind = choice // 3 % 4
+        fault_kind = choice // 3 % 4
         if name in self.world.frozen:
             self.world.thaw(name)
-        elif kind < 2:
+        elif fault_kind < 2:
             self.world.freeze(name)
-        elif kind == 2:
+        elif fault_kind == 2:
             for view in self.world.cores[name].context.fleet.targets.values():
                 view.down_until = self.world.now + 4.0
         else:
@@ -132,17 +138,17 @@
         runs = [run for run in self.world.runs if run.instance not in self.world.frozen]
         return runs[choice % len(runs)] if runs else None
 
-    def _count(self, run: PendingRun) -> str:
+    def _record_run(self, run: PendingRun) -> str:
         request = run.action.request
         step, key = self.world.arrived[self.world.forwarded.get(request, request)]
         self.runs[key] += 1
-        self.run_by.setdefault(key, []).append(step)
+        self.run_steps_by_key.setdefault(key, []).append(step)
         return key
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(STEPS)
-def test_one_run_and_true_refusals_in_any_order(steps: list[tuple[int, int]]) -> None:
-    trial = Trial()
-    for move, choice in steps:
-        trial.do(move, choice)
+@given(STEP_LISTS)
+def test_at_most_one_run_and_true_refusals_in_any_order(steps: list[tuple[int, int]]) -> None:
+    sequence = EventSequence()
+    for step_kind, choice in steps:
+        sequence.run_step(step_kind, choice)
