--- a/rhubarbbend/core/claims/_claim_records.py
+++ b/rhubarbbend/core/claims/_claim_records.py
@@ -146,7 +146,7 @@
         record.asking.clear()
 
     def evict_old_records(self, now: float) -> None:
-        """Evict closed records that are too old, or too many.
+        """Evict records that are closed and awaited by nobody, if they are too old or too many.
 
         The record of a reserved key is the only proof that the key has run. It is therefore kept
         for as long as the key is valid, even beyond `max_records`.
--- a/rhubarbbend/core/claims/_claims.py
+++ b/rhubarbbend/core/claims/_claims.py
@@ -359,7 +359,7 @@
     ) -> None:
         """Let a request claim the key if it arrived after the holder had abandoned its attempt.
 
-        An earlier request is not told "not run" either: a later request may claim the key at any
+        An earlier request is not told "not run": a later request may claim the key at any
         moment, so the verdict might no longer be true. It is refused as "may have run".
         """
         found = self.listener.find_request(request_id)
--- a/rhubarbbend/core/claims/_reserved.py
+++ b/rhubarbbend/core/claims/_reserved.py
@@ -32,7 +32,8 @@
 class ReservedCommands:
     """Issues reserved keys, and runs commands under them or forwards them to their issuers.
 
-    `admit` admits a command forwarded by a peer, `route` routes a command that runs here.
+    `admit` admits a command forwarded by a peer; `route` starts the search for a slot for a command
+    that runs here.
     """
 
     def __init__(
