--- a/rhubarbbend/core/directory/__init__.py
+++ b/rhubarbbend/core/directory/__init__.py
@@ -1,4 +1,4 @@
-"""The directory: which targets there are, what they say of themselves, and which may get work."""
+"""The directory of registered targets: their records, and which of them may receive requests."""
 
 from rhubarbbend.core.directory._directory import Directory, DirectoryOptions
 from rhubarbbend.core.directory._targets import Target, TargetRecord, TargetState
--- a/rhubarbbend/core/directory/_targets.py
+++ b/rhubarbbend/core/directory/_targets.py
@@ -1,4 +1,4 @@
-"""A target as it registered itself, and as an instance keeps it."""
+"""A target's registration record, and the state that an instance keeps for a registered target."""
 
 from __future__ import annotations
 
@@ -8,14 +8,18 @@
 
 
 class TargetState(enum.Enum):
-    """Whether a target takes new work."""
+    """Whether a target accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class TargetRecord(msgspec.Struct, frozen=True):
-    """What a target registered. `cold_left` is in seconds; `boot` grows with each start of it."""
+    """The record that a target registers.
+
+    `cold_left` is the rest of its cold start in seconds; `boot` grows with each start of the
+    target.
+    """
 
     id: str
     service: str
@@ -41,7 +45,7 @@
         "state",
         "cold_until",
         "known_since",
-        "gone_at",
+        "expires_at",
     )
 
     def __init__(self, record: TargetRecord, known_since: float, now: float) -> None:
@@ -53,16 +57,16 @@
         self.boot = record.boot
         self.state = record.state
         self.cold_until = now + record.cold_left
-        # When this instance learned of it; what it held before is not known here.
+        # When this instance first saw it; which prompts it held before that is unknown here.
         self.known_since = known_since
-        # When its missing registration is taken for its end; None while it is registered.
-        self.gone_at: float | None = None
+        # When a target whose registration is missing is removed; None while it is registered.
+        self.expires_at: float | None = None
 
     @property
-    def is_doubtful(self) -> bool:
-        """Whether its registration is missing and may or may not come back."""
-        return self.gone_at is not None
+    def is_registration_missing(self) -> bool:
+        """Whether the registration is missing and may still come back."""
+        return self.expires_at is not None
 
     def is_cold(self, now: float) -> bool:
-        """Whether it bears only a little work yet."""
+        """Whether the target is still in its cold start and can take only a little work."""
         return now < self.cold_until
--- a/rhubarbbend/core/placement/__init__.py
+++ b/rhubarbbend/core/placement/__init__.py
@@ -1,7 +1,7 @@
-"""Placement: which target a request is sent to, decided where the request came in.
+"""Placement: chooses the target of each request, at the instance that received the request.
 
-The views that it decides on are this instance's: what it has under way, what targets said of their
-load in answers to it or to others, and how they answered it of late.
+The choice rests on this instance's own view: its in-flight requests and those that other instances
+report, the load reports of targets, and the targets' recent responses.
 """
 
 from rhubarbbend.core.placement._health import HealthBook
@@ -21,7 +21,7 @@
     Reason,
     compute_most_open,
 )
-from rhubarbbend.core.placement._places import Place, PlaceBook
+from rhubarbbend.core.placement._places import Place, PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt, PromptPart
 from rhubarbbend.core.placement._sources import SourceOptions
 
@@ -32,10 +32,10 @@
     "InFlight",
     "LoadBook",
     "Place",
-    "PlaceBook",
     "Placement",
     "PlacementOptions",
     "Prompt",
+    "PromptLocationTracker",
     "PromptPart",
     "Reason",
     "Scope",
--- a/rhubarbbend/core/placement/_health.py
+++ b/rhubarbbend/core/placement/_health.py
@@ -1,203 +1,214 @@
-"""How targets have answered of late: which are unreachable, and which fail while they look well."""
+"""Tracks the health of targets from the responses and connections of callers' requests.
+
+It knows which targets are unreachable, and which ones fail many requests while they accept
+connections.
+"""
 
 from __future__ import annotations
 
 import math
 from typing import Final
 
-# A target that takes no connection is left alone for so long, doubled with each further failure.
-# The request that tries it next loses a connect time-out; while it is held others go elsewhere.
-FIRST_HOLD: Final = 0.25
-LONGEST_HOLD: Final = 0.6
-# A connection that times out once may have lost a packet; so many seconds after another one, to
-# this target or with none taken in between by any, it says that the target is away.
-SECOND_TIMEOUT: Final = 2.0
-# One request at a time tries a target again that took no connection, for so many seconds: somewhat
-# longer than a connection may take. Before, all that came in that time waited with it.
-TRIAL: Final = 0.12
-# Failures and successes lose half of their weight in this time: a fault of some seconds is seen
-# within one of them, and a target that is well again is used again soon after.
-HALF_LIFE: Final = 3.0
-# A target is avoided if it fails so large a share of its requests, with so much evidence,
-FAILING_SHARE: Final = 0.25
-LEAST_EVIDENCE: Final = 3.0
-# and so many times the share of the service's other targets: what all fail alike is no fault of
-# one of them, and avoiding it gains nothing.
+# Backoff for a target that accepts no connection, doubled with each further failure. The request
+# that tries the target next loses a connect timeout; during the backoff requests go elsewhere.
+INITIAL_BACKOFF_S: Final = 0.25
+MAX_BACKOFF_S: Final = 0.6
+# A single connect timeout may be a lost packet. A second one within this time means that the target
+# is unreachable: either at the same target, or at any target if none has accepted a connection or
+# responded in between.
+REPEATED_TIMEOUT_WINDOW_S: Final = 2.0
+# While one request tries an unreachable target, no other request is sent there for this time, which
+# is somewhat longer than a connection may take. Otherwise every request that arrives in that time
+# would wait for the same connect timeout.
+TRIAL_TIMEOUT_S: Final = 0.12
+# Failures and successes lose half of their weight in this time. A fault that lasts some seconds is
+# detected within one of them, and a target that has recovered is used again soon after.
+HALF_LIFE_S: Final = 3.0
+# A target is avoided if it fails at least this fraction of its requests, given at least this many
+# requests (weighted by age),
+MIN_FAILING_FRACTION: Final = 0.25
+MIN_REQUESTS: Final = 3.0
+# and if it fails more than this many times the typical fraction of the service's other targets. If
+# all targets fail alike, the fault is not in one of them and avoiding it gains nothing.
 FAILING_FACTOR: Final = 2.0
 
 
-# The targets of a zone in which one was lost are tried by one request each, but for those heard of
-# within so many seconds.
-ZONE_SILENCE: Final = 0.25
+# When one target of a zone becomes unreachable, the other targets of the zone are suspected, except
+# those that responded or accepted a connection within this time.
+RECENT_CONTACT_S: Final = 0.25
 
 
-class _Record:
-    """One target's recent past. Invariant: weights are as of `at`."""
+class _HealthRecord:
+    """The recent results of one target. Invariant: `failed` and `total` are as of `decayed_at`."""
 
     __slots__ = (
         "failed",
         "total",
-        "at",
-        "hold",
-        "down_until",
+        "decayed_at",
+        "backoff",
+        "backoff_until",
         "trial_until",
-        "down_since",
+        "unreachable_since",
         "timed_out_at",
-        "heard_at",
+        "last_contact_at",
     )
 
     def __init__(self, now: float) -> None:
         self.failed = 0.0
         self.total = 0.0
-        self.at = now
-        self.hold = 0.0
-        self.down_until = 0.0
-        # Until when a request tries it, alone.
+        self.decayed_at = now
+        self.backoff = 0.0
+        self.backoff_until = 0.0
+        # Until when one request tries the target and no other may be sent there.
         self.trial_until = 0.0
-        # Since when it has taken no connection.
-        self.down_since: float | None = None
+        # Since when the target has accepted no connection; None if it is reachable.
+        self.unreachable_since: float | None = None
         self.timed_out_at: float | None = None
-        # When it last answered or took a connection.
-        self.heard_at = -math.inf
+        # When the target last responded without a failure or accepted a connection.
+        self.last_contact_at = -math.inf
 
-    def fade(self, now: float) -> None:
-        """Let what is known lose its weight."""
-        factor = 0.5 ** ((now - self.at) / HALF_LIFE)
+    def decay(self, now: float) -> None:
+        """Reduce the weights of earlier results by their age."""
+        factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
         self.failed *= factor
         self.total *= factor
-        self.at = now
+        self.decayed_at = now
 
-    def open(self) -> None:
-        """Let everyone go there."""
-        self.down_until = 0.0
+    def mark_reachable(self) -> None:
+        """End the backoff and any trial, so that every request may be sent to the target."""
+        self.backoff_until = 0.0
         self.trial_until = 0.0
-        self.down_since = None
+        self.unreachable_since = None
         self.timed_out_at = None
 
 
 class HealthBook:
-    """Judges targets by the answers to callers' requests. No probe is sent for it."""
+    """Judges targets by the responses to callers' requests, without health check probes."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
-        # Since the last connection that any target took: when one timed out, and where.
+        self._records: dict[str, _HealthRecord] = {}
+        # The last connect timeout (target and time) since any target responded or was connected.
         self._last_timeout: tuple[str, float] | None = None
 
     def note_answer(self, target: str, failed: bool, now: float) -> None:
-        """Count an answer, or a request that got none."""
-        record = self._find(target, now)
-        record.fade(now)
+        """Record a response, or a request that failed without one."""
+        record = self._get_or_create(target, now)
+        record.decay(now)
         record.total += 1.0
         record.failed += 1.0 if failed else 0.0
         if not failed:
-            record.heard_at = now
-            record.hold = 0.0
-            record.open()
+            record.last_contact_at = now
+            record.backoff = 0.0
+            record.mark_reachable()
             self._last_timeout = None
 
     def note_timeout(self, target: str, now: float) -> float:
-        """Note a connection that timed out; gives until when the target is held down."""
-        record = self._find(target, now)
-        before, record.timed_out_at = record.timed_out_at, now
-        others, self._last_timeout = self._last_timeout, (target, now)
-        again = before is not None and now - before <= SECOND_TIMEOUT
-        after_others = others is not None and now - others[1] <= SECOND_TIMEOUT
-        if again or after_others or record.down_since is not None:
+        """Record a connect timeout and return when the target's backoff ends."""
+        record = self._get_or_create(target, now)
+        previous, record.timed_out_at = record.timed_out_at, now
+        last, self._last_timeout = self._last_timeout, (target, now)
+        is_repeated = previous is not None and now - previous <= REPEATED_TIMEOUT_WINDOW_S
+        follows_any = last is not None and now - last[1] <= REPEATED_TIMEOUT_WINDOW_S
+        if is_repeated or follows_any or record.unreachable_since is not None:
             return self.note_unreachable(target, now)
-        return record.down_until
+        return record.backoff_until
 
     def begin_trial(self, target: str, now: float) -> bool:
-        """Let a request try a target that took no connection, and no other until it has.
+        """Reserve an unreachable target for one request that tries a connection.
 
-        False if the target is not one of these, and anyone may go there.
+        Until the trial times out or the connection is made, no other request is sent there. Return
+        False if the target is not unreachable and needs no trial.
         """
         if not self.is_lost(target):
             return False
-        self._records[target].trial_until = now + TRIAL
+        self._records[target].trial_until = now + TRIAL_TIMEOUT_S
         return True
 
     def note_connected(self, target: str, now: float) -> None:
-        """Note that a target has taken a connection: it is there for everyone."""
+        """Record that a target has accepted a connection, which makes it reachable."""
         self._last_timeout = None
         record = self._records.get(target)
         if record is not None:
-            record.heard_at = now
-            record.open()
+            record.last_contact_at = now
+            record.mark_reachable()
 
     def suspect_zone(self, targets: list[str], now: float) -> list[str]:
-        """Doubt the other targets of a zone in which one was lost; gives those.
+        """Mark targets of a zone as unreachable after another target there became unreachable.
+
+        Targets with a recent contact are left out. Return the targets that were marked.
 
-        A cut takes all of a zone's targets at once, and connections that were open before stay
-        open: each request sent over one of them would wait for an answer that cannot come. Tried
-        over a new connection first, a target that is there is open again within a round trip.
+        A network partition cuts off all targets of a zone at once, and connections that are
+        already open stay open: each request sent over one of them would wait for a response that
+        cannot arrive. A suspected target is tried over a new connection first, so one that is
+        reachable is in use again within a round trip.
         """
-        doubted: list[str] = []
+        suspected: list[str] = []
         for target in targets:
-            record = self._find(target, now)
-            if record.down_since is None and now - record.heard_at > ZONE_SILENCE:
-                record.down_since = now
-                doubted.append(target)
-        return doubted
+            record = self._get_or_create(target, now)
+            if record.unreachable_since is None and now - record.last_contact_at > RECENT_CONTACT_S:
+                record.unreachable_since = now
+                suspected.append(target)
+        return suspected
 
     def is_lost(self, target: str) -> bool:
-        """Whether a target has taken no connection since one failed."""
+        """Whether a target has accepted no connection since one failed."""
         record = self._records.get(target)
-        return record is not None and record.down_since is not None
+        return record is not None and record.unreachable_since is not None
 
     def list_lost(self) -> set[str]:
-        """List the targets that have taken no connection since one failed."""
+        """Return the targets that have accepted no connection since one failed."""
         return {target for target in self._records if self.is_lost(target)}
 
     def note_unreachable(self, target: str, now: float) -> float:
-        """Hold a target down that refused a connection; gives until when."""
-        record = self._find(target, now)
-        if record.down_since is None:
-            record.down_since = now
-        if now >= record.down_until:
-            record.hold = min(LONGEST_HOLD, max(FIRST_HOLD, 2.0 * record.hold))
-            record.down_until = now + record.hold
+        """Record that a target is unreachable and return when its backoff ends."""
+        record = self._get_or_create(target, now)
+        if record.unreachable_since is None:
+            record.unreachable_since = now
+        if now >= record.backoff_until:
+            record.backoff = min(MAX_BACKOFF_S, max(INITIAL_BACKOFF_S, 2.0 * record.backoff))
+            record.backoff_until = now + record.backoff
         record.trial_until = 0.0
-        return record.down_until
+        return record.backoff_until
 
     def count_lost_since(self, at: float) -> int:
-        """Count the targets that have taken no connection since some time after `at`."""
+        """Count the unreachable targets that became so at `at` or later."""
         records = self._records.values()
-        return sum(r.down_since is not None and r.down_since >= at for r in records)
+        return sum(r.unreachable_since is not None and r.unreachable_since >= at for r in records)
 
-    def is_down(self, target: str, now: float) -> bool:
-        """Whether a target is held down."""
+    def is_blocked(self, target: str, now: float) -> bool:
+        """Whether no request may be sent to a target now, because of its backoff or a trial."""
         record = self._records.get(target)
-        return record is not None and now < max(record.down_until, record.trial_until)
+        return record is not None and now < max(record.backoff_until, record.trial_until)
 
-    def compute_failing_share(self, target: str, now: float) -> float:
-        """Give the recent share of failures; 0 with too little evidence."""
+    def compute_failure_fraction(self, target: str, now: float) -> float:
+        """Return the recent fraction of failed requests; 0 with fewer than `MIN_REQUESTS`."""
         record = self._records.get(target)
         if record is None:
             return 0.0
-        record.fade(now)
-        if record.total < LEAST_EVIDENCE:
+        record.decay(now)
+        if record.total < MIN_REQUESTS:
             return 0.0
         return record.failed / record.total
 
     def list_failing(self, targets: list[str], now: float) -> set[str]:
-        """List those that fail much more often than the others of their service."""
-        shares = {target: self.compute_failing_share(target, now) for target in targets}
+        """Return the targets that fail much more often than the other targets of their service."""
+        fractions = {target: self.compute_failure_fraction(target, now) for target in targets}
         failing: set[str] = set()
-        for target, share in shares.items():
-            if share < FAILING_SHARE:
+        for target, fraction in fractions.items():
+            if fraction < MIN_FAILING_FRACTION:
                 continue
-            others = [s for other, s in shares.items() if other != target]
-            typical = sorted(others)[len(others) // 2] if others else share
-            if share > FAILING_FACTOR * typical:
+            others = [f for other, f in fractions.items() if other != target]
+            typical = sorted(others)[len(others) // 2] if others else fraction
+            if fraction > FAILING_FACTOR * typical:
                 failing.add(target)
         return failing
 
     def forget(self, target: str) -> None:
-        """Forget a target that has gone."""
+        """Remove the record of a target that has been removed."""
         self._records.pop(target, None)
 
-    def _find(self, target: str, now: float) -> _Record:
+    def _get_or_create(self, target: str, now: float) -> _HealthRecord:
         record = self._records.get(target)
         if record is None:
-            record = self._records[target] = _Record(now)
+            record = self._records[target] = _HealthRecord(now)
         return record
--- a/rhubarbbend/core/placement/_in_flight.py
+++ b/rhubarbbend/core/placement/_in_flight.py
@@ -1,11 +1,13 @@
-"""What instances tell one another of the requests that they have under way at each target.
+"""The in-flight request counts per target that instances send to one another.
 
-A target's own word of its load comes with its answers: late from one that fills up, and never from
-one that has just started. Until then an instance sees nothing of what the others send there, and
-all of them together fill it. So each tells the others its counts whenever they change.
+A target reports its own load only with its responses: late when it is overloaded, and not at all
+when it has just started. Until then an instance does not see what the other instances send to a
+target, and together they overload it. So each instance sends its counts to the others whenever they
+change.
 
-In a large zone an instance tells the one that it waits at, which speaks for all that wait at it and
-gives each of them the sum of the rest.
+In a large zone an instance sends its counts only to its reader, the instance from which it receives
+the changes of the store. The reader relays the sum of those counts, and sends each instance that
+reads from it the sum of all other instances' counts.
 """
 
 from __future__ import annotations
@@ -19,23 +21,28 @@
 
 import msgspec
 
-# Counts that were told so long ago are not used: their sender is gone or cannot be reached.
-COUNTS_LIFE: Final = 1.2
-# Counts are told anew after this time even if nothing has changed, for those that got lost.
-WHOLE_INTERVAL: Final = 0.5
-# Lists of instances differ for seconds, and with them what each may have at a target: what is
-# beyond this many times the own view cannot be.
-VIEW_FACTOR: Final = 2
-# Right after a start of all, sums that are told count instances more than once.
-SPOKEN_FACTOR: Final = 4
-# Numbers of messages go around at this one; of two the later is less than half a turn ahead.
+# Counts received longer ago than this are not used: their sender has stopped or is unreachable.
+COUNTS_TTL_S: Final = 1.2
+# All counts are sent again after this time even if nothing has changed, to make up for lost
+# messages.
+SNAPSHOT_INTERVAL_S: Final = 0.5
+# The lists of instances may differ between instances for seconds, and with them the number of
+# requests that one may have at a target. A count above this many times the limit computed here is
+# implausible.
+MAX_COUNT_FACTOR: Final = 2
+# Right after a start of the whole fleet, the sums that are sent count instances more than once: up
+# to this many times the instances known here is plausible.
+MAX_INSTANCES_FACTOR: Final = 4
+# Sequence numbers of messages wrap around at this value. Of two messages, the later one is ahead by
+# less than half of it.
 NUMBERS: Final = 2**32
 
 
 def compute_tag(target: str) -> int:
-    """Give the number that stands for a target in messages, shorter than its name.
+    """Return the hash that identifies a target in messages; it is shorter than the target's id.
 
-    Among a thousand targets two share one with a probability of 1 in 9,000; their counts add up.
+    Among a thousand targets, two have the same hash with a probability of 1 in 9,000; their counts
+    are then added up.
     """
     return zlib.crc32(target.encode())
 
@@ -43,196 +50,200 @@
 class Scope(enum.Enum):
     """Whose requests are counted."""
 
-    # The sender's, and those of the instances that it speaks for.
+    # Those of the sender and of the instances that it relays for.
     PART = "part"
-    # Those of all instances but the receiver.
+    # Those of all instances except the receiver.
     REST = "rest"
 
 
 class InFlight(msgspec.Struct, frozen=True, array_like=True):
-    """Requests under way by tag of their target, of `instances` instances.
+    """A message with the in-flight requests of `instances` instances, by tag of their target.
 
-    `whole`: targets that are not named have none; otherwise these counts are those that changed.
-    `number`: higher with each message of a sender, from any first one.
+    `is_snapshot`: targets that are not named have no requests; otherwise the message holds only
+    the counts that changed. `sequence` grows with each message of a sender, from any first value.
     """
 
     sender: str
     scope: Scope
     instances: int
-    whole: bool
+    is_snapshot: bool
     counts: dict[int, int]
-    number: int
+    sequence: int
 
 
-def can_be(told: InFlight, instances: int, most: int | None) -> bool:
-    """Whether a message says what a sender can have.
+def can_be(update: InFlight, instances: int, max_requests: int | None) -> bool:
+    """Whether the counts in a message are plausible.
 
-    `instances` is how many there are, `most` the requests that one may have at a target; None: that
-    is not known yet.
+    `instances` is the number of instances of the fleet, `max_requests` the number of requests that
+    one instance may have at a target, or None if that is not known yet.
     """
-    if not 1 <= told.instances <= SPOKEN_FACTOR * instances:
+    if not 1 <= update.instances <= MAX_INSTANCES_FACTOR * instances:
         return False
-    limit = math.inf if most is None else VIEW_FACTOR * most * told.instances
-    return all(0 <= count <= limit for count in told.counts.values())
+    limit = math.inf if max_requests is None else MAX_COUNT_FACTOR * max_requests * update.instances
+    return all(0 <= count <= limit for count in update.counts.values())
 
 
-def is_later(number: int, than: int) -> bool:
-    """Whether a message's number comes after another's."""
-    return 0 < (number - than) % NUMBERS < NUMBERS // 2
+def is_later(sequence: int, than: int) -> bool:
+    """Whether a message's sequence number comes after another's."""
+    return 0 < (sequence - than) % NUMBERS < NUMBERS // 2
 
 
-class _Heard:
+class _SenderCounts:
     """The latest counts of one sender. Invariant: no count is 0."""
 
-    __slots__ = ("counts", "instances", "number", "at")
+    __slots__ = ("counts", "instances", "sequence", "received_at")
 
     def __init__(self) -> None:
         self.counts: dict[int, int] = {}
         self.instances = 0
-        self.number = 0
-        self.at = -math.inf
+        self.sequence = 0
+        self.received_at = -math.inf
 
     def is_fresh(self, now: float) -> bool:
-        """Whether the sender has been heard of late."""
-        return now - self.at < COUNTS_LIFE
+        """Whether the counts are recent enough to be used."""
+        return now - self.received_at < COUNTS_TTL_S
 
-    def take(self, told: InFlight, now: float) -> None:
-        """Take in a message."""
-        if told.whole:
+    def apply(self, update: InFlight, now: float) -> None:
+        """Apply the snapshot or the changes of a message."""
+        if update.is_snapshot:
             self.counts = {}
-        for tag, count in told.counts.items():
+        for tag, count in update.counts.items():
             if count > 0:
                 self.counts[tag] = count
             else:
                 self.counts.pop(tag, None)
-        self.instances = told.instances
-        self.number = told.number
-        self.at = now
+        self.instances = update.instances
+        self.sequence = update.sequence
+        self.received_at = now
 
-    def is_overtaken(self, told: InFlight, now: float) -> bool:
-        """Whether a message is not later than what was heard: it was overtaken, or sent again."""
-        return self.is_fresh(now) and not is_later(told.number, self.number)
+    def is_outdated(self, update: InFlight, now: float) -> bool:
+        """Whether a message is not newer than the last one: it was reordered or sent again."""
+        return self.is_fresh(now) and not is_later(update.sequence, self.sequence)
 
 
-class OthersBook:
-    """What the other instances have under way, as they told it.
+class PeerCountTracker:
+    """Tracks the in-flight requests of the other instances from their messages.
 
-    Invariant: `_sum` and `_instances` are those of all `_parts` added up, counts of 0 left out.
+    Invariant: `_total` and `_instances` are the sums over `_by_sender`, without counts of 0.
     """
 
     def __init__(self) -> None:
-        self._parts: dict[str, _Heard] = {}
-        self._sum: Counter[int] = Counter()
+        self._by_sender: dict[str, _SenderCounts] = {}
+        self._total: Counter[int] = Counter()
         self._instances = 0
-        self._rest = _Heard()
-        self._rest_sender = ""
-        # Before this time none of the parts can be too old.
-        self._fresh_until = math.inf
-
-    def hear(self, told: InFlight, now: float) -> None:
-        """Take in what an instance tells; changes alone mean nothing from one not heard before."""
-        self._drop_silent(now)
-        if told.scope is Scope.REST:
-            self._hear_rest(told, now)
+        # The sum for all other instances that this instance's reader sends, and who sent it.
+        self._relayed = _SenderCounts()
+        self._relayed_by = ""
+        # No counts in `_by_sender` expire before this time.
+        self._next_expiry = math.inf
+
+    def record_update(self, update: InFlight, now: float) -> None:
+        """Apply a message of another instance; ignore changes from a sender without a snapshot."""
+        self._expire_silent_senders(now)
+        if update.scope is Scope.REST:
+            self._record_relayed(update, now)
             return
-        heard = self._parts.get(told.sender)
-        if heard is None:
-            if not told.whole:
+        known = self._by_sender.get(update.sender)
+        if known is None:
+            if not update.is_snapshot:
                 return
-            heard = self._parts[told.sender] = _Heard()
-        elif heard.is_overtaken(told, now):
+            known = self._by_sender[update.sender] = _SenderCounts()
+        elif known.is_outdated(update, now):
             return
-        self._take_off(heard)
-        heard.take(told, now)
-        self._sum.update(heard.counts)
-        self._instances += heard.instances
-        self._fresh_until = min(self._fresh_until, now + COUNTS_LIFE)
-
-    def _hear_rest(self, told: InFlight, now: float) -> None:
-        is_known = told.sender == self._rest_sender
-        if self._rest.is_overtaken(told, now) if is_known else not told.whole:
+        self._subtract(known)
+        known.apply(update, now)
+        self._total.update(known.counts)
+        self._instances += known.instances
+        self._next_expiry = min(self._next_expiry, now + COUNTS_TTL_S)
+
+    def _record_relayed(self, update: InFlight, now: float) -> None:
+        is_known = update.sender == self._relayed_by
+        if self._relayed.is_outdated(update, now) if is_known else not update.is_snapshot:
             return
-        self._rest_sender = told.sender
-        self._rest.take(told, now)
+        self._relayed_by = update.sender
+        self._relayed.apply(update, now)
 
     def count(self, target: str, now: float) -> int:
-        """Count the requests of others at a target."""
+        """Return the number of requests that the other instances have at a target."""
         tag = compute_tag(target)
-        if self._rest.is_fresh(now):
-            return self._rest.counts.get(tag, 0)
-        self._drop_silent(now)
-        return self._sum.get(tag, 0)
+        if self._relayed.is_fresh(now):
+            return self._relayed.counts.get(tag, 0)
+        self._expire_silent_senders(now)
+        return self._total.get(tag, 0)
 
     def count_instances(self, now: float) -> int:
-        """Count the other instances whose requests are known."""
-        if self._rest.is_fresh(now):
-            return self._rest.instances
-        self._drop_silent(now)
+        """Return the number of other instances whose requests are known."""
+        if self._relayed.is_fresh(now):
+            return self._relayed.instances
+        self._expire_silent_senders(now)
         return self._instances
 
     def list_senders(self, now: float) -> list[str]:
-        """List the instances that tell this one their part."""
-        self._drop_silent(now)
-        return list(self._parts)
+        """Return the instances that send their own counts to this one."""
+        self._expire_silent_senders(now)
+        return list(self._by_sender)
 
     def add_up(self, senders: Iterable[str]) -> tuple[Counter[int], int]:
-        """Add up the counts of some senders; gives also of how many instances they are."""
+        """Return the sum of some senders' counts, and the number of instances that it covers."""
         total: Counter[int] = Counter()
         instances = 0
         for sender in senders:
-            heard = self._parts[sender]
-            total.update(heard.counts)
-            instances += heard.instances
+            known = self._by_sender[sender]
+            total.update(known.counts)
+            instances += known.instances
         return total, instances
 
-    def _take_off(self, heard: _Heard) -> None:
-        self._instances -= heard.instances
-        for tag, count in heard.counts.items():
-            self._sum[tag] -= count
-            if not self._sum[tag]:
-                del self._sum[tag]
+    def _subtract(self, known: _SenderCounts) -> None:
+        self._instances -= known.instances
+        for tag, count in known.counts.items():
+            self._total[tag] -= count
+            if not self._total[tag]:
+                del self._total[tag]
 
-    def _drop_silent(self, now: float) -> None:
-        """Forget senders that have not been heard of for too long."""
-        if now < self._fresh_until:
+    def _expire_silent_senders(self, now: float) -> None:
+        if now < self._next_expiry:
             return
-        for sender in [s for s, heard in self._parts.items() if not heard.is_fresh(now)]:
-            self._take_off(self._parts.pop(sender))
-        oldest = min((heard.at for heard in self._parts.values()), default=math.inf)
-        self._fresh_until = oldest + COUNTS_LIFE
+        for sender in [s for s, known in self._by_sender.items() if not known.is_fresh(now)]:
+            self._subtract(self._by_sender.pop(sender))
+        oldest = min((known.received_at for known in self._by_sender.values()), default=math.inf)
+        self._next_expiry = oldest + COUNTS_TTL_S
 
 
 class Teller:
-    """What has been told to each receiver. Invariant: changes are told against what it was told.
+    """Prepares the messages to each receiver: snapshots, and in between the changes.
 
-    `first_number` is that of the first message; a sender that starts again comes back with a later
-    one, or is not heard until what it told before has lapsed.
+    Invariant: changes are relative to what the receiver was sent before. `first_sequence` is the
+    sequence number before the first message. A sender that restarts must continue with a later one;
+    otherwise its messages are ignored until the counts that it sent before have expired.
     """
 
-    def __init__(self, sender: str, first_number: int = 0) -> None:
+    def __init__(self, sender: str, first_sequence: int = 0) -> None:
         self._sender = sender
-        self._number = first_number
-        self._told: dict[str, tuple[dict[int, int], float]] = {}
+        self._sequence = first_sequence
+        # The counts that each receiver was last sent, and when it was last sent a snapshot.
+        self._sent: dict[str, tuple[dict[int, int], float]] = {}
 
     def prepare(
         self, receiver: str, scope: Scope, counts: Mapping[int, int], instances: int, now: float
     ) -> InFlight | None:
-        """Give what is to be told to a receiver now; None if it knows all."""
-        told, whole_at = self._told.get(receiver, ({}, -WHOLE_INTERVAL))
-        if now - whole_at >= WHOLE_INTERVAL:
-            self._told[receiver] = (dict(counts), now)
-            return self._make(scope, instances, True, dict(counts))
-        changed = {t: counts.get(t, 0) for t in counts.keys() | told.keys()}
-        changed = {t: n for t, n in changed.items() if n != told.get(t, 0)}
+        """Return the message to send to a receiver now; None if nothing has changed for it."""
+        sent, snapshot_at = self._sent.get(receiver, ({}, -SNAPSHOT_INTERVAL_S))
+        if now - snapshot_at >= SNAPSHOT_INTERVAL_S:
+            self._sent[receiver] = (dict(counts), now)
+            return self._make_update(scope, instances, True, dict(counts))
+        changed = {t: counts.get(t, 0) for t in counts.keys() | sent.keys()}
+        changed = {t: n for t, n in changed.items() if n != sent.get(t, 0)}
         if not changed:
             return None
-        self._told[receiver] = (dict(counts), whole_at)
-        return self._make(scope, instances, False, changed)
+        self._sent[receiver] = (dict(counts), snapshot_at)
+        return self._make_update(scope, instances, False, changed)
 
-    def _make(self, scope: Scope, instances: int, whole: bool, counts: dict[int, int]) -> InFlight:
-        self._number = (self._number + 1) % NUMBERS
-        return InFlight(self._sender, scope, instances, whole, counts, self._number)
+    def _make_update(
+        self, scope: Scope, instances: int, is_snapshot: bool, counts: dict[int, int]
+    ) -> InFlight:
+        self._sequence = (self._sequence + 1) % NUMBERS
+        return InFlight(self._sender, scope, instances, is_snapshot, counts, self._sequence)
 
     def keep_only(self, receivers: Collection[str]) -> None:
-        """Forget those that are not told any more."""
-        self._told = {r: told for r, told in self._told.items() if r in receivers}
+        """Drop the state of all receivers except these."""
+        self._sent = {r: sent for r, sent in self._sent.items() if r in receivers}
--- a/rhubarbbend/core/placement/_loads.py
+++ b/rhubarbbend/core/placement/_loads.py
@@ -1,4 +1,4 @@
-"""How many requests each target holds, as far as one instance can tell."""
+"""Estimates how many requests each target holds, from what one instance knows."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 import msgspec
 
-from rhubarbbend.core.placement._in_flight import InFlight, OthersBook
+from rhubarbbend.core.placement._in_flight import InFlight, PeerCountTracker
 
-# What a target said of its load counts less as it ages and nothing after so many seconds: most of
-# the requests that it counted have ended by then.
-REPORT_LIFE: Final = 3.0
+# The weight of a target's load report falls linearly to 0 over this time: most of the requests that
+# it counted have ended by then.
+REPORT_TTL_S: Final = 3.0
 
 
 class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What a target said of itself, as told to others: requests held, and how many seconds ago."""
+    """A load report as sent to other instances: requests held, and the report's age in seconds."""
 
     target: str
     held: int
@@ -23,11 +23,11 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What a target said: requests running and waiting there.
+    """A target's report of the requests that run and wait there.
 
-    Of these, `own` were this instance's and `told` those that other instances had told of. It was
-    said at `at` and known here from `heard_at` on; `is_relayed` if this instance has it from one
-    that passes on what others heard, and need not tell it again.
+    Of the `held` requests, `own` were this instance's, and `told` were counted in the messages of
+    other instances. The target made the report at `at`; this instance received it at `heard_at`.
+    `is_relayed` if it was relayed by another instance and need not be sent on to all others.
     """
 
     held: int
@@ -39,28 +39,30 @@
 
 
 class LoadBook:
-    """Own requests under way, and those that other instances tell. No probe is sent for it.
+    """Tracks the load of targets, without health check probes.
 
-    What instances have that are not heard, and what plain targets hold, is known from the targets'
-    answers. Among many instances each has few of those, so they tell one another of them.
+    It combines this instance's in-flight requests, the counts that other instances send, and the
+    load reports in targets' responses. The reports cover instances whose counts are unknown, and
+    plain targets, for which no counts are sent. In a large fleet each instance receives few
+    responses of a target, so instances send the reports to one another.
     """
 
     def __init__(self) -> None:
         self._own: dict[str, int] = {}
         self._reports: dict[str, LoadReport] = {}
-        self.others = OthersBook()
-        # How many other instances there are; None while that is not known.
+        self.others = PeerCountTracker()
+        # The number of other instances; None while that is unknown.
         self.expected: int | None = None
-        # Called when a count of its own changes; set by the instance.
+        # Called when a count of this instance's requests changes; set by the gateway.
         self.on_change: Callable[[], None] = lambda: None
 
     def begin(self, target: str) -> None:
-        """Count a request that is being sent to a target."""
+        """Record that a request is being sent to a target."""
         self._own[target] = self._own.get(target, 0) + 1
         self.on_change()
 
     def end(self, target: str) -> None:
-        """Count it no more."""
+        """Record that a request to a target has ended."""
         left = self._own.get(target, 0) - 1
         if left > 0:
             self._own[target] = left
@@ -69,68 +71,74 @@
         self.on_change()
 
     def list_own(self) -> dict[str, int]:
-        """Give how many requests this instance has at each target."""
+        """Return the number of requests that this instance has at each target."""
         return dict(self._own)
 
-    def hear_instance(self, told: InFlight, now: float) -> None:
-        """Take in what another instance has under way."""
-        self.others.hear(told, now)
+    def hear_instance(self, update: InFlight, now: float) -> None:
+        """Record the in-flight requests in a message of another instance."""
+        self.others.record_update(update, now)
 
     def count_own(self, target: str) -> int:
-        """Give how many requests this instance has at a target."""
+        """Return the number of requests that this instance has at a target."""
         return self._own.get(target, 0)
 
     def take_report(self, target: str, held: int, now: float) -> None:
-        """Take in what a target's answer says of its load."""
-        told = self.others.count(target, now)
-        self._reports[target] = LoadReport(held, self.count_own(target), told, now, now)
+        """Record the load report in a target's response."""
+        counted = self.others.count(target, now)
+        self._reports[target] = LoadReport(held, self.count_own(target), counted, now, now)
 
     def hear(self, loads: Iterable[TargetLoad], is_relayed: bool, now: float) -> None:
-        """Take in what others were told, as far as it is newer than what is known."""
+        """Record load reports that other instances received, if newer than the known ones."""
         for load in loads:
             at = now - load.age
             known = self._reports.get(load.target)
             if known is None or known.at < at:
                 own = self.count_own(load.target)
-                told = self.others.count(load.target, now)
-                report = LoadReport(load.held, own, told, at, now, is_relayed)
+                counted = self.others.count(load.target, now)
+                report = LoadReport(load.held, own, counted, at, now, is_relayed)
                 self._reports[load.target] = report
 
     def list_since(self, heard_after: float, with_relayed: bool, now: float) -> list[TargetLoad]:
-        """List what has been heard since a time and still says something."""
+        """Return the reports that were received after a time and have not expired.
+
+        Relayed reports are included only if `with_relayed`.
+        """
         return [
             TargetLoad(target, report.held, round(now - report.at, 3))
             for target, report in self._reports.items()
             if report.heard_at > heard_after
-            and now - report.at < REPORT_LIFE
+            and now - report.at < REPORT_TTL_S
             and (with_relayed or not report.is_relayed)
         ]
 
-    def estimate(self, target: str, is_told: bool, now: float) -> float:
-        """Estimate how many requests a target holds; `is_told` if instances tell of such ones."""
+    def estimate(self, target: str, has_peer_counts: bool, now: float) -> float:
+        """Estimate how many requests a target holds.
+
+        `has_peer_counts`: whether instances send one another their counts for such a target.
+        """
         known = self.count_own(target) + self.others.count(target, now)
         report = self._reports.get(target)
-        if report is None or (is_told and self.hears_all(now)):
+        if report is None or (has_peer_counts and self.has_counts_of_all_peers(now)):
             return float(known)
         unknown = max(0, report.held - report.own - report.told)
-        freshness = max(0.0, 1.0 - (now - report.at) / REPORT_LIFE)
+        freshness = max(0.0, 1.0 - (now - report.at) / REPORT_TTL_S)
         return known + unknown * freshness
 
-    def hears_all(self, now: float) -> bool:
-        """Whether the requests of all other instances are known."""
-        return self.hears_part(1.0, now)
+    def has_counts_of_all_peers(self, now: float) -> bool:
+        """Whether the in-flight requests of all other instances are known."""
+        return self.has_counts_of_fraction(1.0, now)
 
-    def hears_part(self, part: float, now: float) -> bool:
-        """Whether the requests of at least a part of the other instances are known."""
+    def has_counts_of_fraction(self, fraction: float, now: float) -> bool:
+        """Whether the in-flight requests of at least a fraction of the others are known."""
         if self.expected is None:
             return False
-        return self.others.count_instances(now) >= part * self.expected
+        return self.others.count_instances(now) >= fraction * self.expected
 
-    def read_age(self, target: str, now: float) -> float | None:
-        """Give the age of a target's report in seconds; None without one."""
+    def compute_report_age(self, target: str, now: float) -> float | None:
+        """Return the age of a target's load report in seconds; None without a report."""
         report = self._reports.get(target)
         return None if report is None else now - report.at
 
     def forget(self, target: str) -> None:
-        """Forget the reports of a target that has gone."""
+        """Remove the load report of a target that has been removed."""
         self._reports.pop(target, None)
--- a/rhubarbbend/core/placement/_overload.py
+++ b/rhubarbbend/core/placement/_overload.py
@@ -1,8 +1,9 @@
-"""What becomes of a request while every target of its service is near the load bound.
+"""Decides whether a request is admitted while all targets of its service are near the load bound.
 
-The bound is a multiple of the mean, so targets that are few among many that get no work (their zone
-is out) can be at it with room to spare in themselves. Beyond it a request is turned away at once:
-its caller is served sooner elsewhere or later than at the end of a queue.
+The bound is a multiple of the mean load. When most targets receive no requests because their zone
+is out of service, the remaining ones can reach the bound although they could take more. Beyond the
+bound a request is rejected at once: its caller is served sooner by a retry, elsewhere or later,
+than at the end of a queue.
 """
 
 from __future__ import annotations
@@ -12,62 +13,70 @@
 from random import Random
 from typing import Final
 
-# The load bound allows a multiple of the mean, and so many requests beyond it.
+# The load bound is a multiple of the mean load plus this many requests.
 BOUND_SLACK: Final = 3.0
-# Requests are taken up to this part of the multiple.
-MOST_PART: Final = 0.9
-# What the other instances send is known after about half of this time, in seconds. Requests come in
-# groups, so each leaves room for twice as many.
-TELL_TIME: Final = 0.2
-# The time over which requests are averaged to a rate, in seconds.
-RATE_TIME: Final = 1.0
+# Requests are admitted up to this fraction of the multiple.
+ADMISSION_FRACTION: Final = 0.9
+# The requests that the other instances send are known here after about half of this time. Requests
+# arrive in bursts, so each instance leaves room for twice as many.
+PROPAGATION_TIME_S: Final = 0.2
+# The time constant of the exponential average of the request rate.
+RATE_TIME_CONSTANT_S: Final = 1.0
 
 
 class RequestRate:
-    """Requests a second, of late. Invariant: `_weight` is as of `_at`."""
+    """A moving average of requests per second. Invariant: `_weight` is as of `_updated_at`."""
 
     def __init__(self) -> None:
         self._weight = 0.0
-        self._at = -math.inf
+        self._updated_at = -math.inf
 
-    def note(self, now: float) -> None:
-        """Count a request."""
-        self._weight = self.compute(now) * RATE_TIME + 1.0
-        self._at = now
+    def record(self, now: float) -> None:
+        """Record a request."""
+        self._weight = self.compute(now) * RATE_TIME_CONSTANT_S + 1.0
+        self._updated_at = now
 
     def compute(self, now: float) -> float:
-        """Give the rate."""
-        return self._weight * math.exp((self._at - now) / RATE_TIME) / RATE_TIME
+        """Return the rate in requests per second."""
+        return (
+            self._weight
+            * math.exp((self._updated_at - now) / RATE_TIME_CONSTANT_S)
+            / RATE_TIME_CONSTANT_S
+        )
 
 
-class Room:
-    """What a service's targets may still take within the load bound.
+class Headroom:
+    """How many more requests a service's targets can take within the load bound.
 
-    `loads` are those of the targets that get work, `counted` those in the mean: of all targets, or
-    of all but those that are lost.
+    `loads` are the loads of the targets that receive requests. `counted` are the loads that make up
+    the mean: those of all targets, or of all reachable ones. `per_target` is the headroom of each
+    target in `loads`, `total` that of all together.
     """
 
-    __slots__ = ("rooms", "total")
+    __slots__ = ("per_target", "total")
 
     def __init__(
         self, load_factor: float, loads: Sequence[float], counted: Sequence[float]
     ) -> None:
-        factor = load_factor * MOST_PART
+        factor = load_factor * ADMISSION_FRACTION
         mean = sum(counted) / max(1, len(counted))
         limit = factor * mean + BOUND_SLACK
-        self.rooms = [max(0.0, limit - load) for load in loads]
-        # Each request raises the mean, and so the limit of all targets, by this much.
+        self.per_target = [max(0.0, limit - load) for load in loads]
+        # Each admitted request raises the mean, and with it the sum of the limits, by this much.
         growth = factor * len(loads) / max(1, len(counted))
-        self.total = sum(self.rooms) / (1.0 - growth) if growth < 1.0 else math.inf
+        self.total = sum(self.per_target) / (1.0 - growth) if growth < 1.0 else math.inf
 
     def admits(self, expected: float, random: Random) -> bool:
-        """Whether one more request may come; by chance if the room is less than what is expected.
+        """Whether one more request is admitted; at random if the headroom is below `expected`.
 
-        `expected` requests come to the other instances before this one is told of them. Without
-        chance all would fill the same room at once.
+        `expected` is the number of requests that reach the other instances before this instance
+        learns of them. Without the random choice, all instances would fill the same headroom.
         """
-        return any(self.rooms) and random.random() * expected < self.total
+        return any(self.per_target) and random.random() * expected < self.total
 
-    def pick(self, random: Random) -> int:
-        """Pick the number of a target by its room, so that not all take the one with the most."""
-        return random.choices(range(len(self.rooms)), self.rooms)[0]
+    def select(self, random: Random) -> int:
+        """Return the index of a target, chosen at random in proportion to its headroom.
+
+        Otherwise all instances would choose the target with the most headroom.
+        """
+        return random.choices(range(len(self.per_target)), self.per_target)[0]
--- a/rhubarbbend/core/placement/_placement.py
+++ b/rhubarbbend/core/placement/_placement.py
@@ -1,11 +1,11 @@
-"""Chooses a target for a request.
-
-Requests with a prompt go where its parts were sent last; if that is not known, to its home, the
-first target in rendezvous order of the prompt's affinity key. Every instance computes the same
-home, so the parts of a prompt are read by one engine and found there again. A target that is down,
-cold, failing or above the load bound is passed over for the next in the order; the engine that
-gets the request is told where the parts lie, and fetches them, which costs a fraction of reading
-them again.
+"""Chooses the target of a request.
+
+A request with a prompt goes to the target that the prompt's parts were last sent to. If that target
+is unknown, it goes to the prompt's home, the first target in rendezvous order of the prompt's
+affinity key. Every instance computes the same home, so the parts of a prompt are processed by one
+engine and found in its cache again. If a target is unreachable, cold, failing or above the load
+bound, the request goes to the next target in the order. That engine is sent the target that has the
+parts cached, and fetches them from there, which costs a fraction of processing them again.
 """
 
 from __future__ import annotations
@@ -22,28 +22,37 @@
 from rhubarbbend.core.directory import Directory, Target
 from rhubarbbend.core.placement._health import HealthBook
 from rhubarbbend.core.placement._loads import LoadBook
-from rhubarbbend.core.placement._overload import BOUND_SLACK, TELL_TIME, RequestRate, Room
-from rhubarbbend.core.placement._places import PlaceBook
+from rhubarbbend.core.placement._overload import (
+    BOUND_SLACK,
+    PROPAGATION_TIME_S,
+    Headroom,
+    RequestRate,
+)
+from rhubarbbend.core.placement._places import PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt
-from rhubarbbend.core.placement._sources import SourceOptions, Sources
+from rhubarbbend.core.placement._sources import SourceFinder, SourceOptions
 from rhubarbbend.core.shares import ColdAllowance
 
-# Counts of loads are a moment old, so a target is passed over for the next one somewhat below the
-# bound that the deployment sets: at this part of its factor.
-MOVE_PART: Final = 0.75
-# So large a part of the other instances has to be heard for a request to be turned away by load:
-# one that is cut off does not see what the mean consists of.
-HEARD_PART: Final = 0.5
-# Up to this many requests beyond the mean a target's load is no reason to divide a prompt.
-EVEN_SLACK: Final = 1.0
-# The other zone is chosen only if the own zone's target holds this many requests more.
+# Load estimates lag behind the real load, so requests spill over to the next target somewhat below
+# the bound that the deployment sets: at this fraction of its factor.
+SPILLOVER_FRACTION: Final = 0.75
+# A request is rejected because of load only if the counts of at least this fraction of the other
+# instances are known: an instance that is cut off from them cannot compute the mean load.
+MIN_KNOWN_PEERS_FRACTION: Final = 0.5
+# Requests with the same prompt are divided among the targets that have it cached only if the load
+# of the latest one is more than this many requests above the mean.
+BALANCED_SLACK: Final = 1.0
+# A target of another zone is chosen only if the target of this instance's zone holds at least this
+# many requests more.
 ZONE_ADVANTAGE: Final = 0.75
-# A request that leaves this many seconds after its choice counts for the time it left as well.
-SLOW_CONNECT: Final = 0.02
-# Of the connections that a target takes from all instances together, what is shared out: idle ones
-# and those of instances that the others do not know of yet take the rest.
-CONNECTION_PART: Final = 0.8
-LEAST_CONNECTIONS: Final = 2
+# A request that is sent more than this time after its target was chosen is counted again in the
+# target's cold allowance, at the time when it is sent.
+SLOW_CONNECT_S: Final = 0.02
+# Of the connections that a target accepts from all instances together, this fraction is divided
+# among the instances. The rest is left for idle connections and for instances that the others do
+# not know of yet.
+CONNECTION_FRACTION: Final = 0.8
+MIN_CONNECTIONS: Final = 2
 
 
 class Reason(enum.Enum):
@@ -57,9 +66,11 @@
 
 
 class PlacementOptions(msgspec.Struct, frozen=True):
-    """`load_factor`: no target is to hold more than this many times the mean of its service.
+    """Options of the placement.
 
-    `sources` says for how long a target that leaves may still be asked for what it holds.
+    `load_factor`: no target should hold more than this many times the mean load of its service.
+
+    `sources`: how long prompts may still be fetched from a target that leaves.
     """
 
     zone: str
@@ -68,10 +79,11 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A target, why, and the views that decided: loads are numbers of requests, ages seconds.
+    """The chosen target, the reason, and the values that the choice rests on.
 
-    `own` is this instance's part of the load. `source` is a target that may hold the prompt's
-    shared parts.
+    Loads are numbers of requests, ages are in seconds. `load` is the target's estimated load, of
+    which `own` requests are this instance's; `mean` is the mean load of the service. `source` is a
+    target that may have the prompt's shared parts cached.
     """
 
     target: Target
@@ -85,28 +97,31 @@
 
 
 def compute_most_open(service: Service, instances: int) -> int:
-    """Give how many requests one of `instances` may have at a target of a service."""
-    part = service.max_connections * CONNECTION_PART / max(1, instances)
-    return max(LEAST_CONNECTIONS, int(part))
+    """Return the number of requests that one of `instances` may have at a target of a service."""
+    share = service.max_connections * CONNECTION_FRACTION / max(1, instances)
+    return max(MIN_CONNECTIONS, int(share))
 
 
 class _Candidates:
-    """The targets of a service that may get a request now, and how loaded they are."""
+    """The targets of a service that are considered for a request, and their loads."""
 
-    __slots__ = ("all", "open", "loads", "mean", "failing", "shut")
+    __slots__ = ("targets", "eligible", "loads", "mean", "failing", "rejections")
 
     def __init__(self, targets: list[Target], loads: dict[str, float]) -> None:
-        self.all = targets
-        self.open: list[Target] = []
+        self.targets = targets
+        self.eligible: list[Target] = []
         self.loads = loads
         self.mean = sum(loads.values()) / len(loads) if loads else 0.0
         self.failing: set[str] = set()
-        # How many targets cannot get the request, by reason.
-        self.shut: dict[str, int] = {}
+        # The number of targets that cannot receive the request, by reason.
+        self.rejections: dict[str, int] = {}
 
 
 class Placement:
-    """Decides for each request. Invariant: a target that may not get work is never chosen."""
+    """Chooses the target of each request.
+
+    Invariant: a target that must not receive requests is never chosen.
+    """
 
     def __init__(
         self,
@@ -121,14 +136,14 @@
         self._loads = loads
         self._health = health
         self._cold = cold
-        self.places = PlaceBook()
-        self._sources = Sources(options.sources, directory, loads, health, self.places)
+        self.places = PromptLocationTracker()
+        self._sources = SourceFinder(options.sources, directory, loads, health, self.places)
         self._rates: dict[str, RequestRate] = {}
-        # For the log of a refusal: why targets were shut at the last choice, by number.
+        # For the log of a rejection: the number of targets rejected at the last choice, by reason.
         self.last_shut: dict[str, int] = {}
 
     def set_options(self, options: PlacementOptions) -> None:
-        """Go by other options from now on."""
+        """Replace the options."""
         self._options = options
         self._sources.set_options(options.sources)
 
@@ -141,45 +156,45 @@
         random: Random,
         now: float,
     ) -> Choice | None:
-        """Choose a target; None if no target of the service can take the request now.
+        """Choose a target; return None if no target of the service can take the request now.
 
-        `excluded` are ids of targets that this request has been to; `instances` all instances
-        that share the bounds.
+        `excluded` holds the ids of the targets that were already tried for this request.
+        `instances` are all instances that share the bounds on connections and cold targets.
         """
         candidates = self._find_candidates(service, excluded, instances, now)
-        if not candidates.open:
+        if not candidates.eligible:
             return None
         if service.engine is None:
             return self._choose_by_load(candidates, random, now)
-        room = self._find_room(candidates, bool(excluded), now)
-        expected = self._expect(service, len(instances), now)
-        if room is not None and not room.admits(expected, random):
-            candidates.shut["load"] = len(candidates.open)
+        headroom = self._compute_headroom(candidates, bool(excluded), now)
+        expected = self._record_arrival(service, len(instances), now)
+        if headroom is not None and not headroom.admits(expected, random):
+            candidates.rejections["load"] = len(candidates.eligible)
             return None
         if prompt is None or not prompt.parts:
             return self._choose_by_load(candidates, random, now)
-        return self._choose_by_prompt(candidates, service, prompt, room, random, now)
+        return self._choose_by_prompt(candidates, service, prompt, headroom, random, now)
 
     def note_chosen(self, target: Target, now: float) -> None:
-        """Count a request that is about to be sent to a target."""
+        """Record that a request is about to be sent to a target."""
         self._cold.note_sent(target.id, now)
 
     def note_sent(
         self, choice: Choice, prompt: Prompt | None, chosen_at: float, now: float
     ) -> None:
-        """Remember where a request was sent, some time after it was chosen."""
+        """Record that a request was sent at `now` to the target chosen for it at `chosen_at`."""
         target = choice.target
-        if now - chosen_at > SLOW_CONNECT:
+        if now - chosen_at > SLOW_CONNECT_S:
             self._cold.note_sent(target.id, now)
         if prompt is not None and prompt.parts:
             known = self._sources.list_holders(prompt, now)
-            moved = choice.reason is not Reason.HOME or choice.source is not None
-            is_news = moved and target not in known[:1]
-            self.places.note(prompt.affinity_key, target.id, is_news, now)
+            is_moved = choice.reason is not Reason.HOME or choice.source is not None
+            is_unexpected = is_moved and target not in known[:1]
+            self.places.record_sent(prompt.affinity_key, target.id, is_unexpected, now)
 
     def note_departure(self, target: Target, now: float) -> None:
-        """Forget a target whose registration has gone, but for what it may still hold."""
-        self._sources.note_departure(target, now)
+        """Remove a target whose registration was removed, but keep it as a source of prompts."""
+        self._sources.record_departure(target, now)
         self._loads.forget(target.id)
         self._health.forget(target.id)
         self._cold.forget(target.id)
@@ -187,84 +202,91 @@
     def _find_candidates(
         self, service: Service, excluded: set[str], instances: Sequence[str], now: float
     ) -> _Candidates:
-        targets = self._directory.list_service(service.name, now)
+        targets = self._directory.list_available(service.name, now)
         found = _Candidates(targets, self._estimate_loads(service, now))
         found.failing = self._health.list_failing([target.id for target in targets], now)
-        most = compute_most_open(service, len(instances))
+        max_requests = compute_most_open(service, len(instances))
         for target in targets:
-            reason = self._find_obstacle(service, target, excluded, most, instances, now)
+            reason = self._find_rejection_reason(
+                service, target, excluded, max_requests, instances, now
+            )
             if reason is None:
-                found.open.append(target)
+                found.eligible.append(target)
             else:
-                found.shut[reason] = found.shut.get(reason, 0) + 1
-        self.last_shut = found.shut
+                found.rejections[reason] = found.rejections.get(reason, 0) + 1
+        self.last_shut = found.rejections
         return found
 
-    def _find_obstacle(
+    def _find_rejection_reason(
         self,
         service: Service,
         target: Target,
         excluded: set[str],
-        most: int,
+        max_requests: int,
         instances: Sequence[str],
         now: float,
     ) -> str | None:
-        """Say why a target cannot get a request now; None if it can."""
+        """Return why a target cannot receive a request now; None if it can."""
         if target.id in excluded:
             return "unreachable" if self._health.is_lost(target.id) else "tried"
-        if self._health.is_down(target.id, now):
+        if self._health.is_blocked(target.id, now):
             return "unreachable"
-        if self._loads.count_own(target.id) >= most:
+        if self._loads.count_own(target.id) >= max_requests:
             return "connections"
         if target.is_cold(now) and not self._may_send_cold(service, target, instances, now):
             return "cold"
         return None
 
     def _estimate_loads(self, service: Service, now: float) -> dict[str, float]:
-        """Estimate the loads of a service's targets, those of zones that are out included.
+        """Estimate the loads of a service's targets, also in zones that are out of service.
 
-        One that leaves does not belong to its service any more. While a zone is out its targets
-        stand idle and the bound on the others is lower: measured against the mean of the working
-        ones alone, a hot key would carry its engine beyond it.
+        Draining targets no longer count towards their service. The targets of a zone that is out
+        of service are idle and lower the bound on the others: with the mean of the remaining
+        targets alone, a hot key would load its engine beyond the bound.
         """
-        everyone = self._directory.list_staying(service.name)
-        is_told = service.engine is not None
-        return {target.id: self._loads.estimate(target.id, is_told, now) for target in everyone}
+        targets = self._directory.list_not_draining(service.name)
+        has_peer_counts = service.engine is not None
+        return {
+            target.id: self._loads.estimate(target.id, has_peer_counts, now) for target in targets
+        }
 
     def _may_send_cold(
         self, service: Service, target: Target, instances: Sequence[str], now: float
     ) -> bool:
         if service.cold_rate <= 0.0:
             return True
-        part = self._cold.compute_part(target.id, service.cold_rate, instances)
-        return self._cold.has_room(target.id, part, now)
+        share = self._cold.compute_part(target.id, service.cold_rate, instances)
+        return self._cold.has_room(target.id, share, now)
 
-    # By prompt.
+    # Choice by prompt.
 
-    def _expect(self, service: Service, instances: int, now: float) -> float:
-        """Count a request; gives how many come to the others until this one is told of them."""
+    def _record_arrival(self, service: Service, instances: int, now: float) -> float:
+        """Record a request; return how many reach other instances before their counts arrive."""
         rate = self._rates.setdefault(service.name, RequestRate())
-        rate.note(now)
-        return rate.compute(now) * (instances - 1) * TELL_TIME
+        rate.record(now)
+        return rate.compute(now) * (instances - 1) * PROPAGATION_TIME_S
 
     def _choose_by_prompt(
         self,
         candidates: _Candidates,
         service: Service,
         prompt: Prompt,
-        room: Room | None,
+        headroom: Headroom | None,
         random: Random,
         now: float,
     ) -> Choice:
-        by_id = {target.id: target for target in candidates.all}
+        by_id = {target.id: target for target in candidates.targets}
         order = [by_id[name] for name in rank_names(prompt.affinity_key, by_id)]
         holders = self._sources.list_holders(prompt, now)
-        picked = self._pick(candidates, service, order, holders, now)
-        target, reason = picked or (self._pick_last(candidates, room, random), Reason.LAST_RESORT)
+        selected = self._select_below_bound(candidates, service, order, holders, now)
+        target, reason = selected or (
+            self._select_last_resort(candidates, headroom, random),
+            Reason.LAST_RESORT,
+        )
         source = self._sources.find(prompt, order, holders, target, now)
         return self._make_choice(candidates, target, reason, source, now)
 
-    def _pick(
+    def _select_below_bound(
         self,
         candidates: _Candidates,
         service: Service,
@@ -272,68 +294,75 @@
         holders: list[Target],
         now: float,
     ) -> tuple[Target, Reason] | None:
-        """Pick a target that is not filled up; None if each is."""
-        open_ids = {target.id for target in candidates.open}
-        bound = self._options.load_factor * MOVE_PART * candidates.mean + BOUND_SLACK
+        """Select a target below the load bound; None if all are at the bound."""
+        eligible_ids = {target.id for target in candidates.eligible}
+        bound = self._options.load_factor * SPILLOVER_FRACTION * candidates.mean + BOUND_SLACK
         if service.engine is not None:
             bound = min(bound, float(service.engine.slots))
-        fitting = [t for t in order if t.id in open_ids and candidates.loads[t.id] < bound]
-        well = [t for t in fitting if t.id not in candidates.failing]
-        warm = [t for t in well if not t.is_cold(now) and not t.is_doubtful]
-        for choices in (warm, well, fitting):
-            if not choices:
+        below_bound = [t for t in order if t.id in eligible_ids and candidates.loads[t.id] < bound]
+        healthy = [t for t in below_bound if t.id not in candidates.failing]
+        warm = [t for t in healthy if not t.is_cold(now) and not t.is_registration_missing]
+        for preferred in (warm, healthy, below_bound):
+            if not preferred:
                 continue
-            held = self._pick_holder([t for t in holders if t in choices], candidates)
-            chosen = held or choices[0]
+            holder = self._select_holder([t for t in holders if t in preferred], candidates)
+            chosen = holder or preferred[0]
             if chosen is order[0]:
                 return chosen, Reason.HOME
-            return chosen, Reason.MOVED if held is None else Reason.HELD
+            return chosen, Reason.MOVED if holder is None else Reason.HELD
         return None
 
-    def _find_room(self, candidates: _Candidates, is_repeat: bool, now: float) -> Room | None:
-        """Find what the targets may still take; None if the request may not be turned away.
+    def _compute_headroom(
+        self, candidates: _Candidates, is_retry: bool, now: float
+    ) -> Headroom | None:
+        """Return the targets' headroom; None if the request must not be rejected because of load.
 
-        That is one that has been to a target already. Targets that are lost do not count in the
-        mean: what fails elsewhere is no reason to turn away what the rest can serve.
+        A request that was already sent to a target is never rejected because of load. Unreachable
+        targets do not count in the mean: a fault elsewhere is no reason to reject requests that the
+        remaining targets can serve.
         """
-        if is_repeat or not self._loads.hears_part(HEARD_PART, now):
+        if is_retry or not self._loads.has_counts_of_fraction(MIN_KNOWN_PEERS_FRACTION, now):
             return None
-        loads = [candidates.loads[target.id] for target in candidates.open]
+        loads = [candidates.loads[target.id] for target in candidates.eligible]
         counted = [load for t, load in candidates.loads.items() if not self._health.is_lost(t)]
-        return Room(self._options.load_factor, loads, counted)
+        return Headroom(self._options.load_factor, loads, counted)
 
-    def _pick_last(self, candidates: _Candidates, room: Room | None, random: Random) -> Target:
-        """Pick a target although each is filled up."""
-        if room is not None:
-            return candidates.open[room.pick(random)]
-        return min(candidates.open, key=lambda target: candidates.loads[target.id])
+    def _select_last_resort(
+        self, candidates: _Candidates, headroom: Headroom | None, random: Random
+    ) -> Target:
+        """Select a target although all are at the load bound."""
+        if headroom is not None:
+            return candidates.eligible[headroom.select(random)]
+        return min(candidates.eligible, key=lambda target: candidates.loads[target.id])
 
-    def _pick_holder(self, holders: list[Target], candidates: _Candidates) -> Target | None:
-        """Pick one of the targets that hold a prompt: the latest, unless it fills up.
+    def _select_holder(self, holders: list[Target], candidates: _Candidates) -> Target | None:
+        """Select a target that has a prompt cached: the latest one, unless its load is too high.
 
-        A prompt that everyone asks about fills one target after the other to the bound; between
-        those that hold it already it can be divided by load without being read again.
+        A prompt that all callers use fills one target after another up to the bound. Among the
+        targets that have it cached, requests are divided by load without processing it again.
         """
         if not holders:
             return None
-        if candidates.loads[holders[0].id] <= candidates.mean + EVEN_SLACK:
+        if candidates.loads[holders[0].id] <= candidates.mean + BALANCED_SLACK:
             return holders[0]
         return min(holders, key=lambda target: candidates.loads[target.id])
 
-    # By load.
+    # Choice by load.
 
     def _choose_by_load(self, candidates: _Candidates, random: Random, now: float) -> Choice:
-        well = [t for t in candidates.open if t.id not in candidates.failing] or candidates.open
+        healthy = [
+            t for t in candidates.eligible if t.id not in candidates.failing
+        ] or candidates.eligible
 
-        def weigh(target: Target) -> tuple[bool, float, float]:
-            near = ZONE_ADVANTAGE if target.zone == self._options.zone else 0.0
+        def compute_key(target: Target) -> tuple[bool, float, float]:
+            zone_advantage = ZONE_ADVANTAGE if target.zone == self._options.zone else 0.0
             return (
-                target.is_cold(now) or target.is_doubtful,
-                candidates.loads[target.id] - near,
+                target.is_cold(now) or target.is_registration_missing,
+                candidates.loads[target.id] - zone_advantage,
                 random.random(),
             )
 
-        target = min(well, key=weigh)
+        target = min(healthy, key=compute_key)
         return self._make_choice(candidates, target, Reason.LEAST_LOADED, None, now)
 
     def _make_choice(
@@ -350,7 +379,7 @@
             round(candidates.loads[target.id], 2),
             self._loads.count_own(target.id),
             round(candidates.mean, 2),
-            self._loads.read_age(target.id, now),
+            self._loads.compute_report_age(target.id, now),
             target.is_cold(now),
             source,
         )
--- a/rhubarbbend/core/placement/_places.py
+++ b/rhubarbbend/core/placement/_places.py
@@ -1,10 +1,11 @@
-"""Where prompts were sent last, by this instance or another.
-
-Every instance computes the same home for a prompt, but homes come and go: a target that crashes,
-drains or is full sends its prompts elsewhere, and one that joins becomes the home of some that lie
-on another. Who does not know where a prompt went in between has it read again in full, which takes
-three times as long as fetching it, and longer still for everyone else on that engine. So instances
-tell one another of prompts that are not where their home says.
+"""Tracks which targets prompts were sent to last, by this instance or another.
+
+Every instance computes the same home target for a prompt, but homes change: a target that crashes,
+drains or is full has its prompts sent elsewhere, and a new target becomes the home of some prompts
+that are cached on another. An instance that does not know where a prompt was sent meanwhile has it
+processed again in full. That takes three times as long as fetching it, and longer still for all
+other requests on that engine. So instances notify one another of prompts that were sent to a target
+other than their home.
 """
 
 from __future__ import annotations
@@ -15,86 +16,99 @@
 
 import msgspec
 
-# Prompts whose place is kept, at about 200 bytes each; the least recently used go first.
-MAX_PLACES: Final = 4_096
-# Engines drop the parts that were used longest ago. A place that was not used for so many seconds
-# is no better than the home.
-PLACE_LIFE: Final = 60.0
-# Earlier places are kept as well: when the latest target crashes, the one before still holds.
-MAX_STAYS: Final = 3
+# The number of prompts that are kept, at about 200 bytes each; the least recently used prompt is
+# evicted first.
+MAX_PROMPTS: Final = 4_096
+# Engines evict the least recently used parts. A target that was not sent a prompt for this time is
+# no more likely to have it cached than the prompt's home.
+LOCATION_TTL_S: Final = 60.0
+# Earlier targets are kept as well: when the latest one crashes, the one before may still have the
+# prompt cached.
+MAX_TARGETS_PER_PROMPT: Final = 3
 
 
 class Place(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt's affinity key, the target it was sent to, and how many seconds ago."""
+    """A prompt's affinity key, the target that it was sent to, and how many seconds ago."""
 
     key: str
     target: str
     age: float
 
     def grow_older(self, seconds: float) -> Place:
-        """Give the place as it has to be told some seconds later."""
+        """Return the location with its age increased, to be sent on some seconds later."""
         return Place(self.key, self.target, self.age + seconds)
 
 
-class _Stay(msgspec.Struct, frozen=True):
-    """A prompt was sent to a target at a time."""
+class _SendRecord(msgspec.Struct, frozen=True):
+    """The target that a prompt was sent to, and when."""
 
     target: str
     at: float
 
 
-class PlaceBook:
-    """The places known. Invariant: the stays of a prompt are at different targets, newest first."""
+class PromptLocationTracker:
+    """Tracks the latest targets of each prompt.
+
+    Invariant: the records of a prompt have different targets and are sorted, newest first.
+    """
 
     def __init__(self) -> None:
-        self._stays: OrderedDict[str, list[_Stay]] = OrderedDict()
-        self._news: dict[str, _Stay] = {}
-        # Called when there is something to tell others; set by the instance.
+        self._records: OrderedDict[str, list[_SendRecord]] = OrderedDict()
+        # The latest location of each prompt that has not been sent to other instances yet.
+        self._pending: dict[str, _SendRecord] = {}
+        # Called when there is a location to send to other instances; set by the gateway.
         self.on_news: Callable[[], None] = lambda: None
 
     def list_targets(self, key: str, now: float) -> list[tuple[str, float]]:
-        """List the targets that a prompt was sent to and when, first the latest."""
-        stays = self._stays.get(key, ())
-        return [(stay.target, stay.at) for stay in stays if now - stay.at < PLACE_LIFE]
-
-    def note(self, key: str, target: str, is_news: bool, now: float) -> None:
-        """Note where this instance sent a prompt; `is_news` if others would not expect it."""
-        stay = _Stay(target, now)
-        self._put(key, stay)
-        if is_news:
-            self._news[key] = stay
+        """Return the targets that a prompt was sent to and when, the latest first."""
+        records = self._records.get(key, ())
+        return [
+            (record.target, record.at) for record in records if now - record.at < LOCATION_TTL_S
+        ]
+
+    def record_sent(self, key: str, target: str, is_unexpected: bool, now: float) -> None:
+        """Record the target that this instance sent a prompt to.
+
+        `is_unexpected` if other instances would not look for the prompt there and must be notified.
+        """
+        record = _SendRecord(target, now)
+        self._insert(key, record)
+        if is_unexpected:
+            self._pending[key] = record
             self.on_news()
 
-    def hear(self, places: Iterable[Place], now: float) -> None:
-        """Take in what another instance tells."""
-        for place in places:
-            self._put(place.key, _Stay(place.target, now - place.age))
+    def hear(self, locations: Iterable[Place], now: float) -> None:
+        """Record locations received from another instance."""
+        for location in locations:
+            self._insert(location.key, _SendRecord(location.target, now - location.age))
 
     def take_news(self, now: float) -> list[Place]:
-        """Take what has not been told yet."""
-        news = [Place(key, stay.target, now - stay.at) for key, stay in self._news.items()]
-        self._news.clear()
-        return news
+        """Return the locations that have not been sent to other instances yet, and clear them."""
+        pending = [
+            Place(key, record.target, now - record.at) for key, record in self._pending.items()
+        ]
+        self._pending.clear()
+        return pending
 
     def list_recent(self, now: float) -> list[Place]:
-        """List all latest places that still hold, for an instance that has just joined."""
-        latest = [(key, stays[0]) for key, stays in self._stays.items()]
+        """Return the latest locations that have not expired, for an instance that just joined."""
+        latest = [(key, records[0]) for key, records in self._records.items()]
         return [
-            Place(key, stay.target, now - stay.at)
-            for key, stay in latest
-            if now - stay.at < PLACE_LIFE
+            Place(key, record.target, now - record.at)
+            for key, record in latest
+            if now - record.at < LOCATION_TTL_S
         ]
 
-    def _put(self, key: str, stay: _Stay) -> None:
-        stays = self._stays.setdefault(key, [])
-        known = next((s for s in stays if s.target == stay.target), None)
+    def _insert(self, key: str, record: _SendRecord) -> None:
+        records = self._records.setdefault(key, [])
+        known = next((r for r in records if r.target == record.target), None)
         if known is not None:
-            if known.at >= stay.at:
+            if known.at >= record.at:
                 return
-            stays.remove(known)
-        stays.append(stay)
-        stays.sort(key=lambda s: s.at, reverse=True)
-        del stays[MAX_STAYS:]
-        self._stays.move_to_end(key)
-        if len(self._stays) > MAX_PLACES:
-            self._stays.popitem(last=False)
+            records.remove(known)
+        records.append(record)
+        records.sort(key=lambda r: r.at, reverse=True)
+        del records[MAX_TARGETS_PER_PROMPT:]
+        self._records.move_to_end(key)
+        if len(self._records) > MAX_PROMPTS:
+            self._records.popitem(last=False)
--- a/rhubarbbend/core/placement/_prompts.py
+++ b/rhubarbbend/core/placement/_prompts.py
@@ -1,4 +1,4 @@
-"""A prompt as callers describe it: parts that may be in an engine's memory already."""
+"""A prompt as callers describe it: a sequence of parts that an engine may already have cached."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A run of tokens with a name that is the same wherever it is used."""
+    """A run of tokens with an id that is the same in every prompt that contains it."""
 
     id: str
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """The parts in order. The last one belongs to the request alone, or to its chat."""
+    """The parts of a prompt in order; the last one belongs to this request or its chat alone."""
 
     parts: tuple[PromptPart, ...]
 
     @property
     def affinity_key(self) -> str:
-        """What leads requests to the engine that holds most of their prompts.
+        """The key that sends requests to the engine that has most of their prompts cached.
 
-        An engine reuses a part only if it holds all parts before it, so requests belong together
-        by the last part that they share. That is the one before the request's own; every instance
-        reads it off the request alone and needs to know nothing of the others.
+        An engine reuses a part only if it has all parts before it, so requests belong together by
+        the last part that they share. That is the part before the request's own one. Every instance
+        reads it from the request alone, without knowledge of other requests.
         """
         if not self.parts:
             return ""
@@ -33,10 +33,10 @@
 
     @property
     def point(self) -> float:
-        """The key's place from 0 to 1, for whatever divides prompts by weight."""
+        """The hash of the affinity key as a fraction from 0 to 1, to split prompts by weight."""
         return place_key(self.affinity_key)
 
     @property
     def shared_tokens(self) -> int:
-        """How many tokens other requests may have left in memory."""
+        """The number of tokens that an engine may have cached from other requests."""
         return sum(part.tokens for part in self.parts[:-1])
--- a/rhubarbbend/core/placement/_sources.py
+++ b/rhubarbbend/core/placement/_sources.py
@@ -1,7 +1,7 @@
-"""Where the shared parts of a prompt can be fetched from.
+"""Finds the target from which the shared parts of a prompt can be fetched.
 
-Fetching what another engine holds takes a fraction of the time of reading it again, and leaves that
-time to everyone else on the engine that would have read it.
+Fetching parts that another engine has cached takes a fraction of the time of processing them again,
+and leaves the rest of that time to the other requests on the engine.
 """
 
 from __future__ import annotations
@@ -14,24 +14,25 @@
 from rhubarbbend.core.directory import Directory, Target
 from rhubarbbend.core.placement._health import HealthBook
 from rhubarbbend.core.placement._loads import LoadBook
-from rhubarbbend.core.placement._places import PlaceBook
+from rhubarbbend.core.placement._places import PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt
 
-# Fetching fewer shared tokens than this takes longer than reading them.
-LEAST_FETCH_TOKENS: Final = 256
-# A target that registered within this many seconds is sent what others hold of its prompts, and so
-# is every home by an instance that has not known for longer where prompts go.
-YOUNG: Final = 60.0
-# The grace of a zone that is taken out is used up to this part, since the word of it took time.
-GRACE_PART: Final = 0.7
+# Fetching fewer shared tokens than this takes longer than processing them.
+MIN_FETCH_TOKENS: Final = 256
+# A source is named even for the home of a prompt with no known holder if the home registered within
+# this time, or if this instance has tracked the prompts' targets for no longer than this.
+HOLDER_LEARNING_TIME_S: Final = 60.0
+# Only this fraction of the grace period of a zone that is taken out of service is used, since the
+# notice of it reached this instance with a delay.
+GRACE_FRACTION: Final = 0.7
 
 
 class SourceOptions(msgspec.Struct, frozen=True):
-    """For how long what a target holds may still be fetched, in seconds.
+    """How long a leaving target's prompts may still be fetched, in seconds.
 
     `evacuation_grace` counts from when its zone was taken out of service, `drain_time` from when
-    its registration went. A target that answered within `alive` before that has left as planned
-    and still runs; one that crashed has been silent for longer.
+    its registration was removed. A target that responded within `alive` before that has left as
+    planned and still runs; one that crashed has not responded for longer.
     """
 
     evacuation_grace: float = 0.0
@@ -39,15 +40,18 @@
     alive: float = 3.0
 
 
-class _Departed(msgspec.Struct, frozen=True):
-    """A target that has left and runs until some time."""
+class _DepartedTarget(msgspec.Struct, frozen=True):
+    """A target that has left and is expected to run until `until`."""
 
     target: Target
     until: float
 
 
-class Sources:
-    """Finds who holds a prompt. Invariant: nobody is named that is known to be gone."""
+class SourceFinder:
+    """Finds the targets that have a prompt cached.
+
+    Invariant: a target that is known to have stopped is never returned.
+    """
 
     def __init__(
         self,
@@ -55,35 +59,35 @@
         directory: Directory,
         loads: LoadBook,
         health: HealthBook,
-        places: PlaceBook,
+        locations: PromptLocationTracker,
     ) -> None:
         self._options = options
         self._directory = directory
         self._loads = loads
         self._health = health
-        self._places = places
-        self._departed: dict[str, _Departed] = {}
-        # Since when this instance knows where prompts go: its first request.
-        self._knows_since: float | None = None
+        self._locations = locations
+        self._departed: dict[str, _DepartedTarget] = {}
+        # Since when this instance tracks the prompts' targets: the time of its first request.
+        self._tracking_since: float | None = None
 
     def set_options(self, options: SourceOptions) -> None:
-        """Go by other options from now on."""
+        """Replace the options."""
         self._options = options
 
-    def note_departure(self, target: Target, now: float) -> None:
-        """Remember a target whose registration has gone, if it still runs for a while.
+    def record_departure(self, target: Target, now: float) -> None:
+        """Keep a target whose registration was removed as a source, if it still runs for a while.
 
-        Its prompts are asked for again while it drains; who forgets it at once has them read
-        again although they could still be fetched.
+        Callers send its prompts again while it drains. If it were dropped at once, the prompts
+        would be processed again although they could still be fetched.
         """
         self._departed = {i: d for i, d in self._departed.items() if now < d.until}
-        age = self._loads.read_age(target.id, now)
+        age = self._loads.compute_report_age(target.id, now)
         if age is not None and age <= self._options.alive:
-            self._departed[target.id] = _Departed(target, now + self._options.drain_time)
+            self._departed[target.id] = _DepartedTarget(target, now + self._options.drain_time)
 
     def list_holders(self, prompt: Prompt, now: float) -> list[Target]:
-        """List the targets that a prompt was sent to since they started, first the latest."""
-        found = self._places.list_targets(prompt.affinity_key, now)
+        """Return the targets that a prompt was sent to since they started, the latest first."""
+        found = self._locations.list_targets(prompt.affinity_key, now)
         targets = [(self._directory.find(target), at) for target, at in found]
         return [t for t, at in targets if t is not None and at >= t.known_since]
 
@@ -95,47 +99,56 @@
         target: Target,
         now: float,
     ) -> Target | None:
-        """Find a target that probably holds the shared parts which `target` lacks.
+        """Return a target that probably has the shared parts that `target` lacks.
 
-        `order` is the rendezvous order of the prompt. Who holds it by the book goes first, then
-        who has just left with it, then who would have been its home.
+        `order` is the rendezvous order of the prompt. The known holders come first, then targets
+        that left after the prompt was sent to them, then the other targets in `order`.
 
-        After a start of all instances nobody remembers the prompts that were not at home. Most of
-        them lie at the next target in the order, since they went there when the home was away; a
-        wrong guess costs a question between two engines.
+        After a restart of all instances, none knows which prompts were not at their home. Most of
+        these are at the next target in the order, since they were sent there while the home was
+        unavailable. A wrong guess costs one query between two engines.
         """
-        if self._knows_since is None:
-            self._knows_since = now
-        if prompt.shared_tokens < LEAST_FETCH_TOKENS or target in holders:
+        if self._tracking_since is None:
+            self._tracking_since = now
+        if prompt.shared_tokens < MIN_FETCH_TOKENS or target in holders:
             return None
         departed = self._list_departed(prompt, now)
-        known_for = now - max(target.known_since, self._knows_since)
-        if not holders and not departed and target is order[0] and known_for > YOUNG:
+        known_for = now - max(target.known_since, self._tracking_since)
+        if (
+            not holders
+            and not departed
+            and target is order[0]
+            and known_for > HOLDER_LEARNING_TIME_S
+        ):
             return None
-        likely = [t for t in (*holders, *order) if t is not target and self._may_hold(t, now)]
-        known = [t for t in likely if t in holders]
-        return next(iter([*known, *departed, *likely]), None)
+        candidates = [
+            t for t in (*holders, *order) if t is not target and self._is_likely_holder(t, now)
+        ]
+        known = [t for t in candidates if t in holders]
+        return next(iter([*known, *departed, *candidates]), None)
 
     def _list_departed(self, prompt: Prompt, now: float) -> list[Target]:
-        found = self._places.list_targets(prompt.affinity_key, now)
+        found = self._locations.list_targets(prompt.affinity_key, now)
         departed = [self._departed.get(target) for target, _ in found]
         return [
             d.target
             for d in departed
-            if d is not None and now < d.until and self._may_give(d.target, now)
+            if d is not None and now < d.until and self._may_fetch_from(d.target, now)
         ]
 
-    def _may_hold(self, target: Target, now: float) -> bool:
-        """Whether a target may be named as the place of a prompt."""
-        if self._health.is_down(target.id, now) or target.is_cold(now):
+    def _is_likely_holder(self, target: Target, now: float) -> bool:
+        """Whether a registered target can be named as a source of a prompt."""
+        if self._health.is_blocked(target.id, now) or target.is_cold(now):
             return False
-        return self._may_give(target, now)
+        return self._may_fetch_from(target, now)
 
-    def _may_give(self, target: Target, now: float) -> bool:
-        """Whether operators let a target's zone give what it holds.
+    def _may_fetch_from(self, target: Target, now: float) -> bool:
+        """Whether prompts may be fetched from a target's zone.
 
-        They want nothing more sent to a zone that is out, within a grace; in it the others take
-        over what its targets hold, in place of reading it all again.
+        Nothing may be fetched from a zone that is out of service, except within a grace period. In
+        that time the other targets take over its prompts instead of processing them all again.
         """
-        out_at = self._directory.find_exit(target.zone)
-        return out_at is None or now - out_at <= GRACE_PART * self._options.evacuation_grace
+        out_since = self._directory.find_out_of_service_since(target.zone)
+        return (
+            out_since is None or now - out_since <= GRACE_FRACTION * self._options.evacuation_grace
+        )
--- a/tests/core/placement/test_health.py
+++ b/tests/core/placement/test_health.py
@@ -1,4 +1,4 @@
-"""Which targets are held for unreachable, and who may try them again. Times are seconds."""
+"""When targets count as unreachable, and which request may try them. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,51 +7,52 @@
 TARGETS = ("t1", "t2", "t3", "t4")
 
 
-def test_targets_that_time_out_one_after_the_other_are_away_at_once() -> None:
-    # An instance is cut off. One time-out may be a lost packet; the second in a row, at whatever
-    # target, is not. Each target had to time out twice before, and each request that came in the
-    # meantime waited for all of them in turn, 0.3 s, before it was refused.
+def test_second_connect_timeout_in_a_row_marks_any_target_unreachable() -> None:
+    # An instance is cut off from the network. One connect timeout may be a lost packet; a second
+    # one in a row, at whatever target, is not. If each target had to time out twice, each request
+    # that arrives meanwhile would wait for all of them in turn, 0.3 s, before it is rejected.
     health = HealthBook()
     health.note_timeout("t1", 0.0)
-    assert not health.is_down("t1", 0.1)
+    assert not health.is_blocked("t1", 0.1)
     health.note_timeout("t2", 0.1)
-    assert health.is_down("t2", 0.2)
+    assert health.is_blocked("t2", 0.2)
     health.note_timeout("t3", 0.2)
-    assert health.is_down("t3", 0.3)
+    assert health.is_blocked("t3", 0.3)
 
 
-def test_a_connection_between_two_time_outs_shows_that_the_way_is_open() -> None:
-    # Links lose packets: now and then a connection to one or another target times out.
+def test_connection_between_two_timeouts_shows_that_the_network_works() -> None:
+    # Links lose packets, so now and then a connection to some target times out.
     health = HealthBook()
     health.note_timeout("t1", 0.0)
     health.note_connected("t3", 0.05)
     health.note_timeout("t2", 0.1)
-    assert not health.is_down("t2", 0.2)
+    assert not health.is_blocked("t2", 0.2)
 
 
-def test_one_request_at_a_time_tries_a_target_that_was_away() -> None:
-    # A target is dark for seconds. Whenever its hold ends, all requests of that moment went there
-    # and waited for the time-out; now the first one does, and the others go elsewhere meanwhile.
+def test_one_request_at_a_time_tries_an_unreachable_target() -> None:
+    # A target is unreachable for seconds. Without trials, all requests that arrive when its backoff
+    # ends would go there and wait for the connect timeout; with them the first one does, and the
+    # others go elsewhere meanwhile.
     health = HealthBook()
     until = health.note_unreachable("t1", 0.0)
-    assert not health.is_down("t1", until)
+    assert not health.is_blocked("t1", until)
     assert health.begin_trial("t1", until)
-    assert health.is_down("t1", until + 0.05)
+    assert health.is_blocked("t1", until + 0.05)
     health.note_timeout("t1", until + 0.08)
-    assert health.is_down("t1", until + 0.2)
+    assert health.is_blocked("t1", until + 0.2)
 
 
-def test_a_target_that_takes_a_connection_again_is_open_to_all() -> None:
+def test_target_that_accepts_a_connection_is_open_to_all_requests() -> None:
     health = HealthBook()
     until = health.note_unreachable("t1", 0.0)
     health.begin_trial("t1", until)
     health.note_connected("t1", until)
-    assert not health.is_down("t1", until + 0.01)
+    assert not health.is_blocked("t1", until + 0.01)
     assert not health.begin_trial("t1", until + 0.01)
 
 
-def test_targets_that_are_away_are_listed_until_they_take_a_connection() -> None:
-    # A request that has waited for one of them in vain tries none of the others.
+def test_unreachable_targets_are_listed_until_they_accept_a_connection() -> None:
+    # A request that has waited for one of them without success tries none of the others.
     health = HealthBook()
     for target in TARGETS:
         health.note_unreachable(target, 0.0)
@@ -59,11 +60,12 @@
     assert health.list_lost() == {"t1", "t3", "t4"}
 
 
-def test_a_lost_target_casts_doubt_on_its_zone_but_for_who_was_just_heard() -> None:
-    """A zone is cut off; connections to its targets stay open and silent.
+def test_unreachable_target_makes_its_zone_suspect_except_recent_contacts() -> None:
+    """A zone is cut off; connections to its targets stay open but carry nothing.
 
-    One target is found out. Each request that is sent over an open connection to another one would
-    find that out for itself, after its own patience; doubted, it is tried by one new connection.
+    One target is found to be unreachable. Each request sent over an open connection to another
+    target of the zone would run into its own timeout; a suspected target is tried with one new
+    connection instead.
     """
     health = HealthBook()
     for target in TARGETS:
@@ -72,8 +74,8 @@
     health.note_unreachable("t1", 1.0)
     assert health.suspect_zone(["t2", "t3"], 1.0) == ["t2"]
     assert health.list_lost() == {"t1", "t2"}
-    # Nobody is kept from trying it, one at a time.
-    assert not health.is_down("t2", 1.0)
-    assert health.begin_trial("t2", 1.0) and health.is_down("t2", 1.05)
+    # A suspected target may be tried at once, by one request at a time.
+    assert not health.is_blocked("t2", 1.0)
+    assert health.begin_trial("t2", 1.0) and health.is_blocked("t2", 1.05)
     health.note_connected("t2", 1.06)
     assert health.list_lost() == {"t1"}
--- a/tests/core/placement/test_loads.py
+++ b/tests/core/placement/test_loads.py
@@ -1,8 +1,9 @@
-"""Loads of targets among many instances: a chat that everyone asks about.
+"""Load estimates in a large fleet, with a hot prompt.
 
-Pattern: of 140 requests a second over 30 engines, 12 in 100 are about one prompt and have a home of
-their own like all others. 84 instances share them, so each has an answer of one engine every 18 s.
-Figures are those of the larger known deployment on a day of a hot key: a run takes 1 to 2 s.
+Pattern: 140 requests a second go to 30 engines, and 12 in 100 of them have the same prompt, with a
+home like every other prompt. They are divided among 84 instances, so each instance receives a
+response of a given engine only every 18 s. The figures are those of the larger known deployment on
+a day with a hot key. A request runs for 1 to 2 s.
 """
 
 from __future__ import annotations
@@ -26,19 +27,20 @@
 
 ENGINES = Service("llm", 830, 0.0, 0.0, Engine(64, 480_000, 163_840))
 RATE = 140.0
-HOT_SHARE = 0.12
+HOT_FRACTION = 0.12
 SECONDS = 20.0
-# A target tells its load with the first event of a stream.
-FIRST_EVENT = 0.15
-# Until as many requests run as there will be.
-WARM_UP = 3.0
-# How often instances hear what targets told others, and the bound: twice the mean, and 3.
-SHARE_INTERVAL = 0.4
+# A target reports its load with the first event of a stream, this long after the request.
+FIRST_EVENT_S = 0.15
+# The time until the number of running requests is steady; earlier requests are not counted.
+WARM_UP_S = 3.0
+# How often instances send one another the load reports that they received.
+EXCHANGE_INTERVAL_S = 0.4
+# The load bound: twice the mean plus 3.
 FACTOR, SLACK = 2.0, 3.0
 
 
-class Instance:
-    """One instance's books over the same 30 engines."""
+class SimulatedInstance:
+    """One instance's view of the same 30 engines."""
 
     def __init__(self, name: str) -> None:
         self.loads = LoadBook()
@@ -52,79 +54,80 @@
         cold = ColdAllowance(name, 1.5, 5.0)
         options = PlacementOptions("a", FACTOR)
         self.placement = Placement(options, self.directory, self.loads, HealthBook(), cold)
-        self.told_at = 0.0
+        self.last_exchange_at = 0.0
 
 
-def count_over_bound(instances: int, shares: bool) -> float:
-    """Play the load and give the share of requests that reach an engine over the bound."""
+def compute_over_bound_fraction(instances: int, exchanges_reports: bool) -> float:
+    """Simulate the load; return the fraction of requests sent to an engine above the bound."""
     random = Random(5)
-    fleet = [Instance(f"i{number}") for number in range(instances)]
+    fleet = [SimulatedInstance(f"i{number}") for number in range(instances)]
     names = [f"i{number}" for number in range(instances)]
     held = {f"e{number}": 0 for number in range(30)}
-    steps: list[tuple[float, float, str, int, bool]] = []
+    events: list[tuple[float, float, str, int, bool]] = []
     over = total = 0
-    now, next_share = 0.0, SHARE_INTERVAL
+    now, next_exchange = 0.0, EXCHANGE_INTERVAL_S
     while now < SECONDS:
         now += random.expovariate(RATE)
-        while steps and steps[0][0] <= now:
-            at, _, engine, number, is_end = heapq.heappop(steps)
+        while events and events[0][0] <= now:
+            at, _, engine, number, is_end = heapq.heappop(events)
             if is_end:
                 fleet[number].loads.end(engine)
                 held[engine] -= 1
             else:
                 fleet[number].loads.take_report(engine, held[engine], at)
-        if shares and now >= next_share:
-            share_loads(fleet, now)
-            next_share = now + SHARE_INTERVAL
+        if exchanges_reports and now >= next_exchange:
+            exchange_reports(fleet, now)
+            next_exchange = now + EXCHANGE_INTERVAL_S
         number = random.randrange(instances)
-        key = "hot" if random.random() < HOT_SHARE else f"s{random.randrange(400)}"
+        key = "hot" if random.random() < HOT_FRACTION else f"s{random.randrange(400)}"
         prompt = Prompt((PromptPart(key, 10_000), PromptPart("own", 1_000)))
         choice = fleet[number].placement.choose(ENGINES, prompt, set(), names, random, now)
         assert choice is not None
         engine = choice.target.id
-        total += now > WARM_UP
-        over += now > WARM_UP and held[engine] > FACTOR * sum(held.values()) / len(held) + SLACK
+        total += now > WARM_UP_S
+        over += now > WARM_UP_S and held[engine] > FACTOR * sum(held.values()) / len(held) + SLACK
         held[engine] += 1
         fleet[number].loads.begin(engine)
         fleet[number].placement.note_sent(choice, prompt, now, now)
-        heapq.heappush(steps, (now + FIRST_EVENT, random.random(), engine, number, False))
+        heapq.heappush(events, (now + FIRST_EVENT_S, random.random(), engine, number, False))
         ends = now + random.uniform(1.0, 2.0)
-        heapq.heappush(steps, (ends, random.random(), engine, number, True))
+        heapq.heappush(events, (ends, random.random(), engine, number, True))
     return over / total
 
 
-def share_loads(fleet: list[Instance], now: float) -> None:
-    told: list[TargetLoad] = []
-    places: list[Place] = []
+def exchange_reports(fleet: list[SimulatedInstance], now: float) -> None:
+    reports: list[TargetLoad] = []
+    locations: list[Place] = []
     for instance in fleet:
-        places += instance.placement.places.take_news(now)
-        told += instance.loads.list_since(instance.told_at, False, now)
-        instance.told_at = now
+        locations += instance.placement.places.take_news(now)
+        reports += instance.loads.list_since(instance.last_exchange_at, False, now)
+        instance.last_exchange_at = now
     for instance in fleet:
-        instance.loads.hear(told, True, now)
-        instance.placement.places.hear(places, now)
-
-
-def test_a_hot_prompt_stays_within_the_bound_if_instances_tell_one_another() -> None:
-    # Each caller's request goes to the home of the hot prompt, since no instance knows how many
-    # the others have there; that engine then holds several times the mean, and its streams stall.
-    assert count_over_bound(84, shares=False) > 0.03
-    assert count_over_bound(84, shares=True) < 0.01
-
-
-def test_few_instances_need_nothing_told() -> None:
-    assert count_over_bound(6, shares=False) < 0.01
-
-
-def test_what_others_were_told_counts_if_it_is_newer() -> None:
-    book = LoadBook()
-    book.begin("e")
-    book.take_report("e", 5, 10.0)
-    book.hear([TargetLoad("e", 30, 2.0)], True, 11.0)
-    assert book.estimate("e", True, 10.0) == 5.0
-    book.hear([TargetLoad("e", 30, 0.5)], True, 11.0)
-    assert book.estimate("e", True, 10.5) == 30.0
-    # It is told on to those that wait here, and not back to where it came from.
-    assert book.list_since(10.9, True, 11.0) == [TargetLoad("e", 30, 0.5)]
-    assert book.list_since(10.9, False, 11.0) == []
-    assert book.list_since(10.9, True, 20.0) == []
+        instance.loads.hear(reports, True, now)
+        instance.placement.places.hear(locations, now)
+
+
+def test_hot_prompt_stays_within_the_bound_if_instances_exchange_reports() -> None:
+    # Without the exchange every request with the hot prompt goes to its home, since no instance
+    # knows how many the others have there. That engine then holds several times the mean load, and
+    # its streams stall.
+    assert compute_over_bound_fraction(84, exchanges_reports=False) > 0.03
+    assert compute_over_bound_fraction(84, exchanges_reports=True) < 0.01
+
+
+def test_few_instances_stay_within_the_bound_without_an_exchange() -> None:
+    assert compute_over_bound_fraction(6, exchanges_reports=False) < 0.01
+
+
+def test_relayed_report_replaces_an_older_one() -> None:
+    tracker = LoadBook()
+    tracker.begin("e")
+    tracker.take_report("e", 5, 10.0)
+    tracker.hear([TargetLoad("e", 30, 2.0)], True, 11.0)
+    assert tracker.estimate("e", True, 10.0) == 5.0
+    tracker.hear([TargetLoad("e", 30, 0.5)], True, 11.0)
+    assert tracker.estimate("e", True, 10.5) == 30.0
+    # It is sent on to the instances that read from this one, but not to the relays it came from.
+    assert tracker.list_since(10.9, True, 11.0) == [TargetLoad("e", 30, 0.5)]
+    assert tracker.list_since(10.9, False, 11.0) == []
+    assert tracker.list_since(10.9, True, 20.0) == []
--- a/tests/core/placement/test_overload.py
+++ b/tests/core/placement/test_overload.py
@@ -1,8 +1,8 @@
-"""More work than the engines that are left may carry.
+"""Admission of requests when the available engines cannot take all of them within the load bound.
 
-Pattern: operators take two of three zones out, and 40 requests a second of 1 s each come through
-six instances to the three engines that are left. What they hold is three times the mean of the
-service, whatever goes where; only what is turned away keeps them within twice the mean and 3.
+Pattern: operators take two of three zones out of service, and 40 requests a second of 1 s each
+arrive at six instances for the three remaining engines. Their load is three times the mean of the
+service, however it is distributed; only rejections keep them within twice the mean plus 3.
 """
 
 from __future__ import annotations
@@ -13,109 +13,110 @@
 import pytest
 
 from rhubarbbend.core.placement import Prompt, PromptPart, Reason, Scope, Teller, compute_tag
-from tests.core.placement.test_placement import ENGINES, INSTANCES, World
+from tests.core.placement.test_placement import ENGINES, INSTANCES, FleetView
 
 FACTOR, SLACK = 2.0, 3.0
-# The users' rule: more than so large a share over the bound breaks it.
-MOST_SHARE = 0.03
+# The requirement: at most this fraction of the requests may reach an engine above the bound.
+MAX_OVER_BOUND_FRACTION = 0.03
 RATE, SECONDS, WORK = 40.0, 10.0, 1.0
-# How often instances tell one another what they have under way.
-TELL_INTERVAL = 0.05
-# With 9 requests on each of three engines, a third of nine, each is at the bound.
-MOST_HELD = 27
+# How often instances send one another their in-flight requests.
+UPDATE_INTERVAL_S = 0.05
+# With 9 requests on each of three engines out of nine, each of the three is at the bound.
+MAX_HELD = 27
 
 
-def make_world() -> World:
-    """Make an instance's view of three engines that get work and six that stand idle."""
-    world = World()
-    world.loads.expected = 0
-    world.directory.take_zone_out("b", 0.0)
-    world.directory.take_zone_out("c", 0.0)
-    return world
+def make_view() -> FleetView:
+    """Make an instance's view of three engines that are available and six that are idle."""
+    view = FleetView()
+    view.loads.expected = 0
+    view.directory.take_zone_out("b", 0.0)
+    view.directory.take_zone_out("c", 0.0)
+    return view
 
 
 def make_prompt(key: str) -> Prompt:
     return Prompt((PromptPart("common", 500), PromptPart(key, 9_000), PromptPart("own", 100)))
 
 
-class Surge:
-    """The load, played against instances that tell one another."""
+class LoadSimulation:
+    """Sends the requests through instances that exchange their in-flight counts."""
 
     def __init__(self) -> None:
-        self.fleet = {name: make_world() for name in INSTANCES}
-        self.tellers = {name: Teller(name) for name in INSTANCES}
+        self.fleet = {name: make_view() for name in INSTANCES}
+        self.publishers = {name: Teller(name) for name in INSTANCES}
         self.ends: list[tuple[float, str, str]] = []
         self.sent = self.over = 0
 
-    def play(self, random: Random) -> None:
-        """Send the requests; count those that were sent and those that met a full engine."""
-        now = tell_at = 10.0
+    def run(self, random: Random) -> None:
+        """Send the requests; count those sent, and those sent to an engine above the bound."""
+        now = update_at = 10.0
         while now < 10.0 + SECONDS:
             now += random.expovariate(RATE)
             while self.ends and self.ends[0][0] <= now:
                 _, name, engine = heapq.heappop(self.ends)
                 self.fleet[name].loads.end(engine)
-            if now >= tell_at:
-                self.tell(now)
-                tell_at = now + TELL_INTERVAL
+            if now >= update_at:
+                self.send_updates(now)
+                update_at = now + UPDATE_INTERVAL_S
             self.send(random.choice(INSTANCES), random, now)
 
-    def tell(self, now: float) -> None:
-        """Let each instance tell all others."""
-        for name, world in self.fleet.items():
-            world.loads.expected = len(INSTANCES) - 1
-            own = {compute_tag(e): count for e, count in world.loads.list_own().items()}
-            told = self.tellers[name].prepare("all", Scope.PART, own, 1, now)
+    def send_updates(self, now: float) -> None:
+        """Let each instance send its counts to all others."""
+        for name, view in self.fleet.items():
+            view.loads.expected = len(INSTANCES) - 1
+            own = {compute_tag(e): count for e, count in view.loads.list_own().items()}
+            update = self.publishers[name].prepare("all", Scope.PART, own, 1, now)
             for other in self.fleet.keys() - {name}:
-                if told is not None:
-                    self.fleet[other].loads.hear_instance(told, now)
+                if update is not None:
+                    self.fleet[other].loads.hear_instance(update, now)
 
     def send(self, name: str, random: Random, now: float) -> None:
-        """Let an instance send one request, or turn it away."""
-        world = self.fleet[name]
-        choice = world.choose(make_prompt(f"chat-{random.randrange(200)}"), now, random=random)
+        """Let an instance send or reject one request."""
+        view = self.fleet[name]
+        choice = view.choose(make_prompt(f"chat-{random.randrange(200)}"), now, random=random)
         if choice is None:
-            assert world.placement.last_shut == {"load": 3}
+            assert view.placement.last_shut == {"load": 3}
             return
         engine = choice.target.id
-        held = {e: sum(w.loads.count_own(e) for w in self.fleet.values()) for e in world.engines}
+        held = {e: sum(v.loads.count_own(e) for v in self.fleet.values()) for e in view.engines}
         self.sent += 1
         self.over += held[engine] > FACTOR * sum(held.values()) / len(held) + SLACK
-        world.loads.begin(engine)
+        view.loads.begin(engine)
         heapq.heappush(self.ends, (now + WORK, name, engine))
 
 
-def test_engines_that_are_left_are_not_filled_over_the_bound() -> None:
-    # LIMIT: with every engine over the bound the least loaded one was taken, however much it held.
-    surge = Surge()
-    surge.play(Random(3))
-    assert surge.over <= MOST_SHARE * surge.sent
-    assert surge.sent > 0.8 * MOST_HELD * SECONDS / WORK
+def test_remaining_engines_stay_within_the_load_bound() -> None:
+    # LIMIT: guards against choosing the least loaded engine, however much it holds, when all
+    # engines are above the bound.
+    simulation = LoadSimulation()
+    simulation.run(Random(3))
+    assert simulation.over <= MAX_OVER_BOUND_FRACTION * simulation.sent
+    assert simulation.sent > 0.8 * MAX_HELD * SECONDS / WORK
 
 
-def test_requests_without_a_prompt_are_turned_away_alike() -> None:
-    world = make_world()
-    fill(world, 30)
-    assert world.placement.choose(ENGINES, None, set(), INSTANCES, Random(1), 10.0) is None
-    assert world.placement.last_shut == {"load": 3}
+def test_requests_without_a_prompt_are_rejected_as_well() -> None:
+    view = make_view()
+    load_available_engines(view, 30)
+    assert view.placement.choose(ENGINES, None, set(), INSTANCES, Random(1), 10.0) is None
+    assert view.placement.last_shut == {"load": 3}
 
 
-def fill(world: World, requests: int) -> None:
+def load_available_engines(view: FleetView, requests: int) -> None:
     for engine in ("engine-0", "engine-3", "engine-6"):
-        world.load(engine, requests)
+        view.start_requests(engine, requests)
 
 
 @pytest.mark.parametrize("why", ["begun elsewhere", "others lost", "others silent"])
-def test_what_says_nothing_of_the_bound_turns_nobody_away(why: str) -> None:
-    # A chat that goes on after its engine crashed; engines that are cut off; instances that are,
-    # so that the load of theirs is not known: none of these is a reason to turn callers away.
-    world = make_world()
-    fill(world, 30)
-    assert world.choose() is None
+def test_requests_are_not_rejected_if_the_bound_does_not_apply(why: str) -> None:
+    # No request is rejected because of load if it continues a chat after its engine crashed, if the
+    # other engines are cut off, or if other instances are and their requests are not known.
+    view = make_view()
+    load_available_engines(view, 30)
+    assert view.choose() is None
     if why == "others lost":
-        for engine in world.engines[1:3] + world.engines[4:6] + world.engines[7:]:
-            world.health.note_unreachable(engine, 9.0)
+        for engine in view.engines[1:3] + view.engines[4:6] + view.engines[7:]:
+            view.health.note_unreachable(engine, 9.0)
     elif why == "others silent":
-        world.loads.expected = 5
-    choice = world.choose(excluded={"engine-9"} if why == "begun elsewhere" else None)
+        view.loads.expected = 5
+    choice = view.choose(excluded={"engine-9"} if why == "begun elsewhere" else None)
     assert choice is not None and choice.reason is not Reason.HOME
--- a/tests/core/placement/test_sources.py
+++ b/tests/core/placement/test_sources.py
@@ -1,4 +1,4 @@
-"""From where a prompt is fetched: targets that have left, and what nobody remembers of it."""
+"""The source that a prompt is fetched from: targets that have left, and unknown holders."""
 
 from __future__ import annotations
 
@@ -7,107 +7,108 @@
 
 from rhubarbbend.core._rendezvous import rank_names
 from rhubarbbend.core.placement import Placement, PlacementOptions, SourceOptions
-from tests.core.placement.test_placement import CHAT, World
+from tests.core.placement.test_placement import CHAT, FleetView
 
 # How long targets that leave go on serving, in seconds.
-DRAIN = 2.0
+DRAIN_TIME_S = 2.0
 
 
-def make_world() -> World:
-    world = World()
-    options = PlacementOptions("a", 2.0, SourceOptions(drain_time=DRAIN))
-    world.placement = Placement(options, world.directory, world.loads, world.health, world.cold)
-    return world
+def make_view() -> FleetView:
+    view = FleetView()
+    options = PlacementOptions("a", 2.0, SourceOptions(drain_time=DRAIN_TIME_S))
+    view.placement = Placement(options, view.directory, view.loads, view.health, view.cold)
+    return view
 
 
-def send_home(world: World, now: float) -> str:
-    """Send the chat to its home and give that."""
-    choice = world.choose(now=now)
+def send_home(view: FleetView, now: float) -> str:
+    """Send the chat to its home target and return the target's id."""
+    choice = view.choose(now=now)
     assert choice is not None
-    world.placement.note_sent(choice, CHAT, now, now)
+    view.placement.note_sent(choice, CHAT, now, now)
     return choice.target.id
 
 
-def unregister(world: World, target: str, now: float) -> None:
-    found = world.directory.find(target)
+def unregister(view: FleetView, target: str, now: float) -> None:
+    found = view.directory.find(target)
     assert found is not None
-    world.directory.unregister(target, now)
-    world.placement.note_departure(found, now)
+    view.directory.unregister(target, now)
+    view.placement.note_departure(found, now)
 
 
-@pytest.mark.parametrize(("asked_after", "is_fetched"), [(0.5, True), (1.9, True), (2.1, False)])
-def test_what_a_target_holds_is_fetched_while_it_drains(
-    asked_after: float, is_fetched: bool
+@pytest.mark.parametrize(("sent_after", "is_fetched"), [(0.5, True), (1.9, True), (2.1, False)])
+def test_prompts_are_fetched_from_a_target_while_it_drains(
+    sent_after: float, is_fetched: bool
 ) -> None:
-    """A target leaves without a word: its registration goes, and it serves for 2 s more.
+    """A target leaves without notice: its registration is removed, and it serves for 2 s more.
 
-    The chats that it holds come back at other targets. Forgotten with its registration, it would
-    not be asked, and each of them would read 10,000 tokens again.
+    The chats that it has cached continue at other targets. If it were dropped with its
+    registration, each chat would have 10,000 tokens processed again.
     """
-    world = make_world()
-    home = send_home(world, 10.0)
-    world.loads.take_report(home, 1, 10.2)
-    unregister(world, home, 11.0)
-    choice = world.choose(now=11.0 + asked_after)
+    view = make_view()
+    home = send_home(view, 10.0)
+    view.loads.take_report(home, 1, 10.2)
+    unregister(view, home, 11.0)
+    choice = view.choose(now=11.0 + sent_after)
     assert choice is not None and choice.target.id != home
     assert (choice.source is not None and choice.source.id == home) is is_fetched
 
 
-def test_a_target_that_left_a_zone_that_is_out_gives_nothing_after_the_grace() -> None:
-    # Operators empty a zone; one of its targets leaves after the time in which it may still give.
-    world = make_world()
-    home = send_home(world, 10.0)
-    found = world.directory.find(home)
+def test_target_that_left_a_zone_out_of_service_is_no_source_after_the_grace() -> None:
+    # Operators evacuate a zone. One of its targets leaves after the grace period in which prompts
+    # may still be fetched from the zone.
+    view = make_view()
+    home = send_home(view, 10.0)
+    found = view.directory.find(home)
     assert found is not None
-    world.directory.take_zone_out(found.zone, 10.1)
-    world.loads.take_report(home, 1, 10.2)
-    unregister(world, home, 11.0)
-    choice = world.choose(now=11.5)
+    view.directory.take_zone_out(found.zone, 10.1)
+    view.loads.take_report(home, 1, 10.2)
+    unregister(view, home, 11.0)
+    choice = view.choose(now=11.5)
     assert choice is not None and (choice.source is None or choice.source.id != home)
 
 
-def test_a_target_that_crashed_is_not_asked() -> None:
-    # Its registration lapses after three missed heartbeats, so it has answered nobody for longer.
-    world = make_world()
-    home = send_home(world, 10.0)
-    world.loads.take_report(home, 1, 10.2)
-    unregister(world, home, 13.9)
-    choice = world.choose(now=14.0)
+def test_crashed_target_is_no_source() -> None:
+    # Its registration expires after three missed heartbeats, so it has not responded for longer.
+    view = make_view()
+    home = send_home(view, 10.0)
+    view.loads.take_report(home, 1, 10.2)
+    unregister(view, home, 13.9)
+    choice = view.choose(now=14.0)
     assert choice is not None and (choice.source is None or choice.source.id != home)
 
 
-def test_an_instance_that_has_just_started_asks_where_a_prompt_would_have_gone() -> None:
-    """All instances lost power while the chat lay at the second target of its order.
+def test_new_instance_guesses_that_the_next_target_in_the_order_is_the_source() -> None:
+    """All instances lost power while the chat was cached at the second target of its order.
 
-    None remembers that. Its home is asked for it again and would read it anew, although the
-    target that served it a moment before still holds all of it.
+    None of them knows that any more. The chat's next request goes to its home, which would process
+    the prompt again although the target that served it a moment before still has all of it cached.
     """
-    world = make_world()
-    world.directory.finish_first_read()
-    first = world.choose(now=10.0)
-    assert first is not None and first.target.id == world.home
+    view = make_view()
+    view.directory.finish_first_read()
+    first = view.choose(now=10.0)
+    assert first is not None and first.target.id == view.home
     assert first.source is not None
-    assert first.source.id == rank_names(CHAT.affinity_key, world.engines)[1]
-    # Once it has seen where prompts go for a while, one that it has never seen is new.
-    later = world.choose(now=75.0)
-    assert later is not None and later.target.id == world.home and later.source is None
+    assert first.source.id == rank_names(CHAT.affinity_key, view.engines)[1]
+    # Once the instance has tracked prompts for a while, a prompt that it has never seen is new.
+    later = view.choose(now=75.0)
+    assert later is not None and later.target.id == view.home and later.source is None
 
 
-def test_a_prompt_at_its_home_is_not_told_to_others() -> None:
-    """A zone that was out comes back, and its targets are homes again.
+def test_prompt_at_its_home_is_not_sent_to_other_instances() -> None:
+    """A zone returns to service, and its targets are homes again.
 
-    Told of every place, all instances leave each prompt where any of them sent it last. The zone
-    that is back then stands idle, and the others hold over twice the mean.
+    If instances sent one another every location, all of them would leave each prompt where any
+    sent it last. The zone would then stay idle, and the others hold over twice the mean load.
     """
-    world = make_world()
-    places = world.placement.places
-    world.directory.finish_first_read()
-    home = world.choose(now=10.0)
+    view = make_view()
+    locations = view.placement.places
+    view.directory.finish_first_read()
+    home = view.choose(now=10.0)
     assert home is not None
-    world.placement.note_sent(msgspec.structs.replace(home, source=None), CHAT, 10.0, 10.0)
-    assert places.take_news(10.0) == []
-    world.load(world.home, 12)
-    moved = world.choose(now=11.0)
-    assert moved is not None and moved.target.id != world.home
-    world.placement.note_sent(moved, CHAT, 11.0, 11.0)
-    assert [place.target for place in places.take_news(11.0)] == [moved.target.id]
+    view.placement.note_sent(msgspec.structs.replace(home, source=None), CHAT, 10.0, 10.0)
+    assert locations.take_news(10.0) == []
+    view.start_requests(view.home, 12)
+    moved = view.choose(now=11.0)
+    assert moved is not None and moved.target.id != view.home
+    view.placement.note_sent(moved, CHAT, 11.0, 11.0)
+    assert [location.target for location in locations.take_news(11.0)] == [moved.target.id]
