--- a/rhubarbbend/core/directory/_directory.py
+++ b/rhubarbbend/core/directory/_directory.py
@@ -24,10 +24,10 @@
 class DirectoryOptions(msgspec.Struct, frozen=True):
     """Durations in seconds for which an uncertain state of a target is assumed.
 
-    `lapse_grace` is the time for which a target may still receive requests after its registration
-    went missing, in case it has really left. The targets of a zone may have become cold while it
-    was out of service; their registrations report that within `return_caution`, and until then
-    they are treated as cold.
+    A target that has really left may receive requests for at most `lapse_grace` after its
+    registration went missing. The targets of a zone may have become cold while it was out of
+    service; their registrations report that within `return_caution`, and until then they are
+    treated as cold.
     """
 
     lapse_grace: float = 1.7
@@ -108,8 +108,9 @@
     def unregister(self, target_id: str, now: float) -> None:
         """Handle a missing registration.
 
-        The target is removed at once, unless the store has just recovered from an outage: then its
-        registration may have expired although the target is alive, and has time to come back.
+        The target is removed at once, unless it is ready and the store has just recovered from an
+        outage: then its registration may have expired although the target is alive, and it stays
+        until the registration has had time to come back.
         """
         target = self._targets.get(target_id)
         if target is None:
@@ -152,7 +153,7 @@
     def _replace(self, record: TargetRecord, now: float) -> Target:
         old = self._targets.get(record.id)
         if old is not None:
-            self._delete(old)
+            self._remove_from_indexes(old)
         known_since = -math.inf if self._is_first_read else now
         target = Target(record, known_since, now)
         boot, state, _ = self._removed.pop(record.id, (-1, TargetState.READY, 0.0))
@@ -175,9 +176,9 @@
         target.cold_until = max(target.cold_until, now + record.cold_left)
 
     def _remove(self, target: Target, now: float) -> None:
-        self._delete(target)
+        self._remove_from_indexes(target)
         self._removed[target.id] = (target.boot, target.state, now)
 
-    def _delete(self, target: Target) -> None:
+    def _remove_from_indexes(self, target: Target) -> None:
         del self._targets[target.id]
         self._by_service[target.service].remove(target)
--- a/rhubarbbend/core/directory/_targets.py
+++ b/rhubarbbend/core/directory/_targets.py
@@ -57,7 +57,7 @@
         self.boot = record.boot
         self.state = record.state
         self.cold_until = now + record.cold_left
-        # When this instance first saw it; which prompts it held before that is unknown here.
+        # When this instance first saw it; which prompts it cached before that is unknown.
         self.known_since = known_since
         # When a target whose registration is missing is removed; None while it is registered.
         self.expires_at: float | None = None
--- a/rhubarbbend/core/placement/_health.py
+++ b/rhubarbbend/core/placement/_health.py
@@ -24,12 +24,13 @@
 # Failures and successes lose half of their weight in this time. A fault that lasts some seconds is
 # detected within one of them, and a target that has recovered is used again soon after.
 HALF_LIFE_S: Final = 3.0
-# A target is avoided if it fails at least this fraction of its requests, given at least this many
-# requests (weighted by age),
+# A target is avoided only if it fails at least this fraction of its requests, out of at least this
+# many requests (weighted by age).
 MIN_FAILING_FRACTION: Final = 0.25
 MIN_REQUESTS: Final = 3.0
-# and if it fails more than this many times the typical fraction of the service's other targets. If
-# all targets fail alike, the fault is not in one of them and avoiding it gains nothing.
+# A target is avoided only if its fraction of failures is more than this many times the median of
+# the service's other targets. If all targets fail alike, the fault is not in one of them and
+# avoiding it gains nothing.
 FAILING_FACTOR: Final = 2.0
 
 
--- a/rhubarbbend/core/placement/_placement.py
+++ b/rhubarbbend/core/placement/_placement.py
@@ -4,8 +4,8 @@
 is unknown, it goes to the prompt's home, the first target in rendezvous order of the prompt's
 affinity key. Every instance computes the same home, so the parts of a prompt are processed by one
 engine and found in its cache again. If a target is unreachable, cold, failing or above the load
-bound, the request goes to the next target in the order. That engine is sent the target that has the
-parts cached, and fetches them from there, which costs a fraction of processing them again.
+bound, the request goes to the next target in the order. It then names the target that has the parts
+cached, and the engine fetches them from there, which costs a fraction of processing them again.
 """
 
 from __future__ import annotations
@@ -58,10 +58,14 @@
 class Reason(enum.Enum):
     """Why a target was chosen; counted and logged."""
 
+    # The prompt was sent to this target before, and it is not the home.
     HELD = "held"
     HOME = "home"
+    # The first suitable target after the home in the prompt's order.
     MOVED = "moved"
+    # The request has no prompt.
     LEAST_LOADED = "least_loaded"
+    # All eligible targets are at the load bound.
     LAST_RESORT = "last_resort"
 
 
@@ -193,7 +197,7 @@
             self.places.record_sent(prompt.affinity_key, target.id, is_unexpected, now)
 
     def note_departure(self, target: Target, now: float) -> None:
-        """Remove a target whose registration was removed, but keep it as a source of prompts."""
+        """Remove a target whose registration was removed, but keep it as a source while it runs."""
         self._sources.record_departure(target, now)
         self._loads.forget(target.id)
         self._health.forget(target.id)
--- a/tests/core/placement/test_loads.py
+++ b/tests/core/placement/test_loads.py
@@ -26,9 +26,9 @@
 from rhubarbbend.core.shares import ColdAllowance
 
 ENGINES = Service("llm", 830, 0.0, 0.0, Engine(64, 480_000, 163_840))
-RATE = 140.0
+REQUESTS_PER_S = 140.0
 HOT_FRACTION = 0.12
-SECONDS = 20.0
+DURATION_S = 20.0
 # A target reports its load with the first event of a stream, this long after the request.
 FIRST_EVENT_S = 0.15
 # The time until the number of running requests is steady; earlier requests are not counted.
@@ -66,8 +66,8 @@
     events: list[tuple[float, float, str, int, bool]] = []
     over = total = 0
     now, next_exchange = 0.0, EXCHANGE_INTERVAL_S
-    while now < SECONDS:
-        now += random.expovariate(RATE)
+    while now < DURATION_S:
+        now += random.expovariate(REQUESTS_PER_S)
         while events and events[0][0] <= now:
             at, _, engine, number, is_end = heapq.heappop(events)
             if is_end:
--- a/tests/core/placement/test_overload.py
+++ b/tests/core/placement/test_overload.py
@@ -18,7 +18,7 @@
 FACTOR, SLACK = 2.0, 3.0
 # The requirement: at most this fraction of the requests may reach an engine above the bound.
 MAX_OVER_BOUND_FRACTION = 0.03
-RATE, SECONDS, WORK = 40.0, 10.0, 1.0
+REQUESTS_PER_S, DURATION_S, REQUEST_TIME_S = 40.0, 10.0, 1.0
 # How often instances send one another their in-flight requests.
 UPDATE_INTERVAL_S = 0.05
 # With 9 requests on each of three engines out of nine, each of the three is at the bound.
@@ -50,8 +50,8 @@
     def run(self, random: Random) -> None:
         """Send the requests; count those sent, and those sent to an engine above the bound."""
         now = update_at = 10.0
-        while now < 10.0 + SECONDS:
-            now += random.expovariate(RATE)
+        while now < 10.0 + DURATION_S:
+            now += random.expovariate(REQUESTS_PER_S)
             while self.ends and self.ends[0][0] <= now:
                 _, name, engine = heapq.heappop(self.ends)
                 self.fleet[name].loads.end(engine)
@@ -82,7 +82,7 @@
         self.sent += 1
         self.over += held[engine] > FACTOR * sum(held.values()) / len(held) + SLACK
         view.loads.begin(engine)
-        heapq.heappush(self.ends, (now + WORK, name, engine))
+        heapq.heappush(self.ends, (now + REQUEST_TIME_S, name, engine))
 
 
 def test_remaining_engines_stay_within_the_load_bound() -> None:
@@ -91,7 +91,7 @@
     simulation = LoadSimulation()
     simulation.run(Random(3))
     assert simulation.over <= MAX_OVER_BOUND_FRACTION * simulation.sent
-    assert simulation.sent > 0.8 * MAX_HELD * SECONDS / WORK
+    assert simulation.sent > 0.8 * MAX_HELD * DURATION_S / REQUEST_TIME_S
 
 
 def test_requests_without_a_prompt_are_rejected_as_well() -> None:
