--- a/rhubarbbend/codes.py
+++ b/rhubarbbend/codes.py
@@ -1,7 +1,7 @@
-"""The one registry of verdicts, error codes and counters.
+"""Registry of verdicts, error codes and counters.
 
-Every refusal that a caller can see, every retry reason and every counter is declared here and
-nowhere else, so that docs/OPERATIONS.md and docs/INTERFACES.md can be checked against it.
+All refusals visible to callers, all retry reasons and all counters are declared here and nowhere
+else, so that docs/OPERATIONS.md and docs/INTERFACES.md can be checked against them.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 class Verdict(enum.Enum):
     """Whether the work named by a request's idempotency key has run.
 
-    NOT_RUN is only said when no attempt so far under the key has started or ever will. RAN comes
-    with the whole answer. Anything in doubt is MAY_HAVE_RUN.
+    NOT_RUN is returned only if no attempt made so far under the key has started or ever will. RAN
+    is returned with the complete answer. All uncertain cases are MAY_HAVE_RUN.
     """
 
     NOT_RUN = "not_run"
@@ -25,7 +25,10 @@
 
 
 class ErrorCode(msgspec.Struct, frozen=True):
-    """A refusal or failure as the caller sees it; `retry_after` in seconds, 0 for never."""
+    """A refusal or failure reported to the caller.
+
+    `status` is the HTTP status. `retry_after` is in seconds; 0 if the caller should not retry.
+    """
 
     name: str
     status: int
@@ -50,21 +53,21 @@
 
 
 def list_errors() -> list[ErrorCode]:
-    """List every declared error code."""
+    """Return all declared error codes."""
     return list(_ERRORS.values())
 
 
 def list_counters() -> dict[str, str]:
-    """Map every declared counter to its meaning."""
+    """Return the meaning of each declared counter by counter name."""
     return dict(_COUNTERS)
 
 
 def find_error(name: str) -> ErrorCode:
-    """Find a declared error code by name; an unknown one becomes INTERNAL."""
+    """Return the error code declared under a name, or INTERNAL if there is none."""
     return _ERRORS.get(name, INTERNAL)
 
 
-# Refusals before anything ran.
+# Refusals; no attempt has run.
 BAD_REQUEST: Final = _declare_error("bad_request", 400, "the request cannot be understood")
 KEY_REQUIRED: Final = _declare_error(
     "idempotency_key_required", 400, "this operation is not idempotent; send an Idempotency-Key"
@@ -104,7 +107,7 @@
 )
 DEADLINE: Final = _declare_error("deadline_exceeded", 504, "the deadline passed", 0.0)
 
-# Failures after an attempt may have run.
+# Failures; an attempt may have run.
 TARGET_FAILED: Final = _declare_error(
     "target_failed", 502, "the target failed before the answer was whole", 1.0
 )
@@ -125,7 +128,7 @@
 )
 INTERNAL: Final = _declare_error("internal", 500, "an internal error", 1.0)
 
-# What the instance does, counted.
+# Counters of the instance's activity.
 REQUESTS: Final = _declare_counter("requests", "requests received from callers")
 ANSWERS: Final = _declare_counter("answers", "whole answers given to callers")
 ANSWERS_CUT: Final = _declare_counter(
--- a/rhubarbbend/core/__init__.py
+++ b/rhubarbbend/core/__init__.py
@@ -1,10 +1,12 @@
-"""The core of an instance: every decision, without I/O, clock or global random numbers.
+"""The core of an instance: all decision logic, free of I/O, clock reads and global random state.
 
-A bench or a shell drives it by `Core.handle(event, now)` and carries out the actions it returns;
-`Core.next_timer()` tells when `events.TimerDue` is due if nothing else happens.
+The caller (the shell in production, a test otherwise) passes events to `Core.handle(event, now)`
+and carries out the actions that it returns. `Core.next_timer()` returns the time at which the
+caller must send `events.TimerDue` if no other event comes first.
 
-The names below load on first use. Folders such as `placement` serve instances that run none of
-the duties behind `Core`; loading those as well would cost each such instance several megabytes.
+The names exported here are imported on first use. Some instances use only packages such as
+`placement` and never create a `Core`; importing the components of `Core` eagerly would cost each
+of these instances several megabytes of memory.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 
 __all__ = ["Core", "CoreOptions", "Identity"]
 
-_HOMES: Final = {
+_MODULE_BY_NAME: Final = {
     "Core": "rhubarbbend.core._core",
     "CoreOptions": "rhubarbbend.core._context",
     "Identity": "rhubarbbend.core._context",
@@ -26,7 +28,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    home = _HOMES.get(name)
-    if home is None:
+    module_name = _MODULE_BY_NAME.get(name)
+    if module_name is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    return getattr(importlib.import_module(home), name)
+    return getattr(importlib.import_module(module_name), name)
--- a/rhubarbbend/core/_context.py
+++ b/rhubarbbend/core/_context.py
@@ -1,4 +1,8 @@
-"""What the duties share: identity, options, views, timers, and the actions of the present event."""
+"""State shared by the components of the core.
+
+It holds the identity and options of the instance, its views of the fleet, its timers, and the
+actions produced by the event that is being handled.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,10 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who this instance is. `incarnation` differs at each start; `secret` signs hints and keys."""
+    """Identity of this instance.
+
+    `incarnation` differs at each start. `secret` signs routing tickets and reserved keys.
+    """
 
     instance: str
     zone: str
@@ -34,20 +41,21 @@
 
 @attrs.define(slots=True, frozen=True)
 class CoreOptions:
-    """Every interval, limit and time-out of the core; times in seconds."""
+    """All intervals, limits and timeouts of the core; times are in seconds."""
 
     heartbeat_interval: float = 1.0
-    # A zone peer that has not been heard for this long owns nothing any more.
+    # An instance of the own zone that has sent nothing for this long no longer owns any target.
     peer_silence: float = 3.0
     zone_interval: float = 2.0
     list_interval: float = 1.0
-    # How many instances of a zone read the list and the changes in each of their intervals.
+    # Number of instances per zone that read the platform's list and the configuration changes in
+    # each interval.
     zone_readers: int = 4
-    # A target that has left the list for this long is forgotten.
+    # A target is removed after it has been absent from the platform's list for this long.
     list_grace: float = 5.0
     report_interval: float = 0.5
     report_max_age: float = 3.0
-    # How long an owner may take to answer beyond the wait that it was allowed.
+    # How long an owner may take to reply beyond the queueing time that the request allows.
     slot_timeout: float = 0.5
     renewal_interval: float = 5.0
     slot_lease: float = 16.0
@@ -56,7 +64,8 @@
     retry_reserve: float = 10.0
     max_attempts: int = 3
     max_resumes: int = 3
-    # A run that has given no byte for this long is asked for over a new connection.
+    # When an attempt has received no byte for this long, its answer is requested again over a new
+    # connection.
     silence_limit: float = 2.0
     max_silent_checks: int = 4
     probe_timeout: float = 1.0
@@ -71,16 +80,16 @@
     suspect_limit: int = 2
     suspect_hold: float = 600.0
     config_interval: float = 1.0
-    # How often an operator's write is repeated while its answer is lost.
+    # For how long an operator's write is retried while its outcome is unknown.
     config_write_timeout: float = 5.0
     snapshot_every: int = 200
     balancer_lag: float = 2.0
-    # No limit of its own unless the operator sets one.
+    # Limit on the duration of a planned stop; 0 means that there is no limit.
     stop_limit: float = 0.0
 
 
 class Context:
-    """Shared state of the duties. Invariant: `out` holds the actions of one event only."""
+    """State shared by all components. Invariant: `out` holds the actions of one event only."""
 
     def __init__(self, identity: Identity, options: CoreOptions, seed: int) -> None:
         self.identity = identity
@@ -93,22 +102,23 @@
         self.wall_offset = 0.0
         self.stopping = False
         self.config_ready = False
-        # Whether the targets have been learned, from the list or from a peer.
+        # Whether the instances and targets are known, from the platform's list or from a peer.
         self.members_known = False
-        # Local time of the last platform failure and success, for the claim duty's breaker.
+        # Local time of the last failed and the last successful call to the table service. Requests
+        # that need the table fail fast while the last call failed recently.
         self.platform_failed = -1.0
         self.platform_worked = 0.0
-        # Set by the member duty; adds the newest loads to slot messages.
+        # Set by the member component; attaches the newest loads to outgoing slot messages.
         self.add_loads: Callable[[InstanceView, SlotMessage], None] = lambda view, message: None
         self._timers: list[tuple[float, int, Callback]] = []
         self._sequence = itertools.count()
 
     def emit(self, action: actions.Action) -> None:
-        """Ask the shell for an action."""
+        """Append an action for the shell to carry out."""
         self.out.append(action)
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self.out.append(actions.Count(name, by))
 
     def log(self, what: str, **details: str) -> None:
@@ -116,7 +126,11 @@
         self.out.append(actions.LogState(what, details))
 
     def send(self, peer: str, message: Message) -> None:
-        """Send a message to an instance; one to this instance is handled in the same step."""
+        """Send a message to an instance.
+
+        A message to this instance is handled within the same call of `Core.handle`. A message to
+        an unknown instance is dropped.
+        """
         if peer == self.identity.instance:
             self.local.append(message)
             return
@@ -127,13 +141,13 @@
             self.out.append(actions.SendPeer(peer, view.host, view.peer_port, message))
 
     def set_timer(self, at: float, callback: Callback) -> None:
-        """Run a callback once the time has come."""
+        """Schedule a callback to run once at the given local time."""
         heapq.heappush(self._timers, (at, next(self._sequence), callback))
 
     def repeat(self, interval: float, callback: Callback, now: float) -> None:
-        """Run a callback now and then at every interval, a tenth of it apart at random.
+        """Run a callback now and then periodically, with a jitter of a tenth of the interval.
 
-        Instances that start together would otherwise poll the platform in step for ever.
+        Without jitter, instances that start together would poll the platform in lockstep for ever.
         """
 
         def run(at: float) -> None:
@@ -143,32 +157,33 @@
         run(now)
 
     def next_timer(self) -> float | None:
-        """Give the time of the next timer."""
+        """Return the time of the earliest timer, or None if there is none."""
         return self._timers[0][0] if self._timers else None
 
-    def take_due(self, now: float) -> Callback | None:
-        """Take the next callback that is due."""
+    def pop_due(self, now: float) -> Callback | None:
+        """Remove and return the earliest callback that is due, or None if none is due."""
         if self._timers and self._timers[0][0] <= now:
             return heapq.heappop(self._timers)[2]
         return None
 
     def read_wall(self, now: float) -> float:
-        """Give Unix time at a local time, for what is compared between instances."""
+        """Convert a local time to Unix time, for times that instances compare with each other."""
         return now + self.wall_offset
 
     def takes_work(self, view: TargetView) -> bool:
-        """Whether operators and the platform's list allow new work to a target."""
+        """Return whether operators and the platform's list allow new work on a target."""
         return not view.leaving and self.configuration.is_target_in_service(view.id, view.zone)
 
     @property
     def platform_down(self) -> bool:
-        """Whether the last call to the table service failed."""
+        """Whether the most recent call to the table service failed."""
         return self.platform_failed > self.platform_worked
 
     def is_out_of_touch(self, now: float) -> bool:
-        """Whether operators may have changed something since the table service last answered.
+        """Return whether this instance may have missed changes made by operators.
 
-        It counts from as long a silence on as that of a peer does.
+        This is the case when the table service is down and its last successful call is more than
+        `peer_silence` ago, the timeout that also applies to peers.
         """
         return self.platform_down and now - self.platform_worked > self.options.peer_silence
 
@@ -177,12 +192,12 @@
 
 
 class Duty(Protocol):
-    """One duty of an instance: a small state and the events and messages it handles."""
+    """A component of the core: its own state, and handlers of the events that it subscribes to."""
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Map event types to methods that take the event and the present time."""
+        """Return the handlers by event type; each takes the event and the current local time."""
         ...
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Map message types to methods that take the sender, the message and the time."""
+        """Return the handlers by message type; each takes sender, message and current time."""
         ...
--- a/rhubarbbend/core/_core.py
+++ b/rhubarbbend/core/_core.py
@@ -1,7 +1,7 @@
-"""The core of an instance: gives each event to the duties that handle it, collects the actions.
+"""The core of an instance: dispatches each event to its handlers and collects the actions.
 
-It does no I/O and reads no clock. The same construction arguments and the same events with the
-same times give the same actions, which is what record and replay rests on.
+It does no I/O and reads no clock. The same constructor arguments and the same events at the same
+times produce the same actions; recording and replaying traces depends on this.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 
 class Core:
-    """Every decision of one instance. Invariant: `handle` returns all actions of its event."""
+    """All decision logic of one instance.
+
+    Invariant: `handle` returns every action that its event causes.
+    """
 
     def __init__(self, identity: Identity, options: CoreOptions, seed: int) -> None:
         self.context = Context(identity, options, seed)
@@ -37,7 +40,8 @@
         self.stop = StopDuty(self.context, self.entry, self.owner, self.claims, self.members)
         self._events: dict[type[events.Event], list[EventHandler]] = {}
         self._messages: dict[type[Message], EventHandler] = {}
-        # Members learn first what happened, so that the others decide on the newest views.
+        # Handlers run in order of registration. The member component comes first, so that the
+        # others decide on up-to-date views of the fleet.
         self._register(self.members)
         self._register(self.follower)
         self._register(self.snapshots)
@@ -49,7 +53,7 @@
         self._register(self.stop)
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
-        """Take an event at a time and give the actions to carry out, in order."""
+        """Handle an event at a local time and return the actions to carry out, in order."""
         context = self.context
         context.out = []
         self._run_timers(now)
@@ -59,24 +63,24 @@
         else:
             for handler in self._events.get(type(event), ()):
                 handler(event, now)
-        self._drain_local(now)
+        self._handle_local_messages(now)
         return context.out
 
     def next_timer(self) -> float | None:
-        """Give the time at which `TimerDue` has to be handled if nothing else happens."""
+        """Return when `TimerDue` must be handled if no other event comes first; None for never."""
         return self.context.next_timer()
 
     def _run_timers(self, now: float) -> None:
-        callback = self.context.take_due(now)
+        callback = self.context.pop_due(now)
         while callback is not None:
             callback(now)
-            self._drain_local(now)
-            callback = self.context.take_due(now)
+            self._handle_local_messages(now)
+            callback = self.context.pop_due(now)
 
-    def _drain_local(self, now: float) -> None:
-        own = self.context.identity.instance
+    def _handle_local_messages(self, now: float) -> None:
+        own_id = self.context.identity.instance
         while self.context.local:
-            self._handle_message(own, self.context.local.popleft(), now)
+            self._handle_message(own_id, self.context.local.popleft(), now)
 
     def _handle_message(self, sender: str, message: Message, now: float) -> None:
         if isinstance(message, SlotMessage):
--- a/rhubarbbend/core/_fleet.py
+++ b/rhubarbbend/core/_fleet.py
@@ -1,8 +1,8 @@
-"""What an instance believes about the other instances and the targets, and who owns what.
+"""The local view of the fleet: known instances and targets, target owners, and load sums.
 
-Views come from the platform's list, which lags, and from heartbeats, which do not cross zones.
-Two instances may therefore hold different views for seconds; ownership is only as agreed as they
-are, which the owner duty allows for.
+Views are built from the platform's list, which lags, and from heartbeats, which are sent only
+within a zone. The views of two instances may therefore differ for seconds, and then the two may
+also disagree on the owner of a target; the owner component tolerates this.
 """
 
 from __future__ import annotations
@@ -20,40 +20,46 @@
 
 
 def rank(key: str, candidate: str) -> int:
-    """Give the rendezvous weight of a candidate for a key; the highest comes first."""
+    """Return the rendezvous hashing weight of a candidate for a key; the highest weight wins."""
     return xxhash.xxh64_intdigest(f"{key}|{candidate}".encode())
 
 
 @attrs.define(slots=True)
 class InstanceView:
-    """Another instance (or this one) as seen from here. Times are of the local clock."""
+    """What this instance knows about an instance (itself included); times are local times."""
 
     id: str
     zone: str
     host: str
     peer_port: int
     incarnation: int = 0
-    # The list and the instance itself each say whether it leaves; either word is enough.
+    # Whether the instance is leaving, according to the platform's list and according to its own
+    # messages; one of the two is sufficient.
     listed_leaving: bool = False
     said_leaving: bool = False
     listed: bool = False
     first_seen: float = 0.0
     last_heard: float = -1.0
-    # Since when messages to an instance of another zone have failed; negative: they do not.
+    # Local time since which messages to an instance of another zone have failed; negative while
+    # they are delivered.
     lost_since: float = -1.0
     config_version: int = 0
-    # When `config_version` was last told, by heartbeat or in answer to a question.
+    # Local time at which `config_version` was last received, in a heartbeat or in a reply to a
+    # query.
     version_heard: float = -1.0
 
     @property
     def leaving(self) -> bool:
-        """Whether it gives up its duties."""
+        """Whether the instance is leaving the fleet, so that others must take over its targets."""
         return self.listed_leaving or self.said_leaving
 
 
 @attrs.define(slots=True)
 class TargetView:
-    """A target as seen from here; load figures are its owner's and may be a second old."""
+    """What this instance knows about a target.
+
+    The load comes from the owner of the target and may be a second old.
+    """
 
     id: str
     service_name: str
@@ -61,7 +67,8 @@
     host: str
     port: int
     leaving: bool = False
-    # What the last list read here said; `leaving` is also set by a peer's word.
+    # Whether the last list that was read marks the target as leaving; `leaving` is also set by
+    # messages of peers.
     listed_leaving: bool = False
     listed: bool = True
     boot_id: str = ""
@@ -77,7 +84,7 @@
 
 @attrs.define(slots=True)
 class LoadSum:
-    """Load and number of some targets of a service."""
+    """Total load and number of targets of one service."""
 
     load: int = 0
     targets: int = 0
@@ -85,83 +92,90 @@
 
 @attrs.define(slots=True)
 class ZoneSums:
-    """What another zone said of its load, by service, and when."""
+    """Load sums of another zone by service, and the local time at which they were received."""
 
     heard_at: float
     sums: dict[str, LoadSum]
 
 
 class Fleet:
-    """All views.
+    """All views of instances and targets, with target ownership and load sums derived from them.
 
-    Invariants: `_owners` holds owners computed from the present live set; `_sums` is the sum over
-    `_counted`, which `note_target` keeps in step with the views of the targets.
+    Invariants: `_owners` caches owners computed from the current live set; `_sums` is the sum over
+    `_summed_targets`, which `note_target` updates whenever the view of a target changes.
     """
 
-    def __init__(self, own_id: str, own_zone: str, silence: float) -> None:
+    def __init__(self, own_id: str, own_zone: str, silence_timeout_s: float) -> None:
         self.own_id = own_id
         self.own_zone = own_zone
         self.instances: dict[str, InstanceView] = {}
         self.targets: dict[str, TargetView] = {}
         self.zone_sums: dict[str, ZoneSums] = {}
-        self._silence = silence
-        self._by_service: dict[str, list[TargetView]] = {}
+        self._silence_timeout_s = silence_timeout_s
+        self._targets_by_service: dict[str, list[TargetView]] = {}
         self._owners: dict[str, str] = {}
-        self._live: dict[str, tuple[str, ...]] = {}
+        self._live_by_zone: dict[str, tuple[str, ...]] = {}
         self._sums: dict[str, LoadSum] = {}
-        self._counted: dict[str, tuple[str, int]] = {}
-        self._counted_version = -1
+        self._summed_targets: dict[str, tuple[str, int]] = {}
+        self._summed_config_version = -1
 
     def is_live(self, view: InstanceView, now: float) -> bool:
-        """Whether an instance may be given work as far as this one can tell."""
+        """Return whether an instance is believed to be alive, so that it may be given work.
+
+        An instance of the own zone is alive if its last message arrived within the silence
+        timeout. Before its first message it is alive for that time after it was first listed. An
+        instance of another zone is alive while it is listed, unless messages to it have failed
+        for longer than the timeout.
+        """
         if view.id == self.own_id:
             return True
         if view.zone != self.own_zone:
-            lost = view.lost_since >= 0 and now - view.lost_since > self._silence
-            return view.listed and not lost
+            is_lost = view.lost_since >= 0 and now - view.lost_since > self._silence_timeout_s
+            return view.listed and not is_lost
         if view.last_heard >= 0:
-            return now - view.last_heard <= self._silence
-        return view.listed and now - view.first_seen <= self._silence
+            return now - view.last_heard <= self._silence_timeout_s
+        return view.listed and now - view.first_seen <= self._silence_timeout_s
 
     def is_reachable(self, instance: str) -> bool:
-        """Whether the last message to an instance was not lost."""
+        """Return whether an instance is known and the last message to it was delivered."""
         view = self.instances.get(instance)
         return view is not None and view.lost_since < 0
 
     def refresh_live(self, now: float) -> bool:
-        """Recompute who is live; True if the set changed, which forgets the owners it concerns."""
+        """Recompute the live instances and update cached owners; return whether the set changed."""
         live: dict[str, list[str]] = {}
         for view in self.instances.values():
             if not view.leaving and self.is_live(view, now):
                 live.setdefault(view.zone, []).append(view.id)
-        fresh = {zone: tuple(sorted(ids)) for zone, ids in live.items()}
-        if fresh == self._live:
+        current = {zone: tuple(sorted(ids)) for zone, ids in live.items()}
+        if current == self._live_by_zone:
             return False
-        former, self._live = self._live, fresh
-        if former.keys() != fresh.keys():
-            # A zone without instances is owned from another, so any zone may be concerned.
+        previous, self._live_by_zone = self._live_by_zone, current
+        if previous.keys() != current.keys():
+            # The targets of a zone without instances are owned from another zone, so the owners
+            # of any zone may change.
             self._owners.clear()
             return True
-        for zone, ids in fresh.items():
-            if ids != former[zone]:
-                self._move_owners(zone, set(former[zone]), set(ids))
+        for zone, ids in current.items():
+            if ids != previous[zone]:
+                self._update_zone_owners(zone, set(previous[zone]), set(ids))
         return True
 
-    def _move_owners(self, zone: str, former: set[str], fresh: set[str]) -> None:
-        """Recompute the owners that a change of a zone's instances concerns, and no others."""
-        joined = sorted(fresh - former)
+    def _update_zone_owners(self, zone: str, previous: set[str], current: set[str]) -> None:
+        """Update only those cached owners that a change of the zone's instances affects."""
+        joined = sorted(current - previous)
         for target, owner in list(self._owners.items()):
-            if owner not in fresh and owner in former:
+            if owner not in current and owner in previous:
                 del self._owners[target]
-            elif owner in fresh:
+            elif owner in current:
                 best = max([owner, *joined], key=lambda instance: rank(target, instance))
                 self._owners[target] = best
 
     def find_owner(self, target: TargetView) -> str:
-        """Find the owner of a target: the first in rendezvous order of its zone's instances.
+        """Return the id of the target's owner, chosen by rendezvous hashing among its zone.
 
-        A zone whose instances are all gone but whose targets live is owned from the next zone in
-        name order, so that its targets are not lost with its instances.
+        If no instance of the target's zone is live, the owner is chosen from the next zone in name
+        order (wrapping around), so that the targets of a zone outlive its instances.
         """
         owner = self._owners.get(target.id)
         if owner is None:
@@ -170,72 +184,77 @@
         return owner
 
     def list_live(self, zone: str) -> tuple[str, ...]:
-        """List the live instances of a zone that are not leaving."""
-        return self._live.get(zone, ())
+        """Return the ids of the live instances of a zone that are not leaving, sorted."""
+        return self._live_by_zone.get(zone, ())
 
     def list_zones(self) -> list[str]:
-        """List the zones that have live instances."""
-        return sorted(self._live)
+        """Return the names of the zones that have live instances, sorted."""
+        return sorted(self._live_by_zone)
 
     def list_targets(self, service_name: str) -> list[TargetView]:
-        """List the known targets of a service."""
-        return self._by_service.get(service_name, [])
+        """Return the known targets of a service."""
+        return self._targets_by_service.get(service_name, [])
 
     def add_target(self, view: TargetView) -> None:
         """Add a target seen for the first time."""
         self.targets[view.id] = view
-        self._by_service.setdefault(view.service_name, []).append(view)
+        self._targets_by_service.setdefault(view.service_name, []).append(view)
 
     def remove_target(self, target: str) -> None:
-        """Forget a target that has left the list."""
+        """Remove a target that has left the platform's list."""
         view = self.targets.pop(target, None)
         self._owners.pop(target, None)
-        self._uncount(target)
+        self._remove_from_sums(target)
         if view is not None:
-            self._by_service[view.service_name].remove(view)
+            self._targets_by_service[view.service_name].remove(view)
 
     def note_target(self, view: TargetView, configuration: Configuration) -> None:
-        """Bring the sums in line with a view that has changed.
+        """Update the load sums after the view of a target has changed.
 
-        The mean is needed for each slot that is granted; summing every target of the service each
-        time would cost more than all the rest of the decision.
+        The mean load is needed for each slot that is granted. Summing over every target of the
+        service each time would cost more than the rest of the decision.
         """
-        self._uncount(view.id)
-        heard = view.updated >= 0 and view.ready and not view.leaving
-        if heard and configuration.is_target_in_service(view.id, view.zone):
+        self._remove_from_sums(view.id)
+        is_available = view.updated >= 0 and view.ready and not view.leaving
+        if is_available and configuration.is_target_in_service(view.id, view.zone):
             entry = self._sums.setdefault(view.service_name, LoadSum())
             entry.load += view.load
             entry.targets += 1
-            self._counted[view.id] = (view.service_name, view.load)
+            self._summed_targets[view.id] = (view.service_name, view.load)
 
     def is_counted(self, target: str) -> bool:
-        """Whether a target's load is part of the sums."""
-        return target in self._counted
+        """Return whether the load of a target is included in the sums."""
+        return target in self._summed_targets
 
     def compute_sums(self, configuration: Configuration) -> dict[str, LoadSum]:
-        """Sum load and count of the ready targets that the own zone's instances own."""
-        self._follow_configuration(configuration)
+        """Return load and number of the ready targets owned by the own zone, by service."""
+        self._recompute_sums_on_config_change(configuration)
         return {name: entry for name, entry in self._sums.items() if entry.targets}
 
     def compute_mean(self, service: Service, configuration: Configuration) -> tuple[int, int]:
-        """Give the load and number of the service's ready targets over every zone in service."""
-        self._follow_configuration(configuration)
+        """Return the total load and number of the service's ready targets in all zones in service.
+
+        The mean load is their quotient.
+        """
+        self._recompute_sums_on_config_change(configuration)
         own = self._sums.get(service.name)
         load, count = (own.load, own.targets) if own is not None else (0, 0)
-        for zone, heard in self.zone_sums.items():
-            entry = heard.sums.get(service.name)
+        for zone, received in self.zone_sums.items():
+            entry = received.sums.get(service.name)
             if entry is not None and configuration.is_zone_in_service(zone):
                 load += entry.load
                 count += entry.targets
         return load, count
 
     def drop_stale(self, configuration: Configuration, oldest: float) -> None:
-        """Forget loads that were last heard before `oldest`.
+        """Discard loads that were last received before the local time `oldest`.
 
-        The sums of a zone that is cut off, and the load of a target that nobody owns any more,
-        would otherwise weigh on the mean for ever.
+        The sums of a partitioned zone, and the load of a target that no longer has an owner, would
+        otherwise distort the mean for ever.
         """
-        for zone in [name for name, heard in self.zone_sums.items() if heard.heard_at < oldest]:
+        for zone in [
+            name for name, received in self.zone_sums.items() if received.heard_at < oldest
+        ]:
             del self.zone_sums[zone]
         for view in self.targets.values():
             if 0 <= view.updated < oldest:
@@ -243,16 +262,16 @@
                 view.ready = False
                 self.note_target(view, configuration)
 
-    def _follow_configuration(self, configuration: Configuration) -> None:
-        """Sum afresh when another version is in force: other zones or targets may be out."""
-        if configuration.version == self._counted_version:
+    def _recompute_sums_on_config_change(self, configuration: Configuration) -> None:
+        """Recompute the sums if the configuration changed: targets may be out of service now."""
+        if configuration.version == self._summed_config_version:
             return
-        self._counted_version = configuration.version
+        self._summed_config_version = configuration.version
         for view in self.targets.values():
             self.note_target(view, configuration)
 
-    def _uncount(self, target: str) -> None:
-        counted = self._counted.pop(target, None)
+    def _remove_from_sums(self, target: str) -> None:
+        counted = self._summed_targets.pop(target, None)
         if counted is not None:
             entry = self._sums[counted[0]]
             entry.load -= counted[1]
@@ -263,7 +282,7 @@
         if not zones:
             return self.own_id
         zone = target.zone
-        if zone not in self._live:
+        if zone not in self._live_by_zone:
             later = [name for name in zones if name > zone]
             zone = later[0] if later else zones[0]
-        return max(self._live[zone], key=lambda instance: rank(target.id, instance))
+        return max(self._live_by_zone[zone], key=lambda instance: rank(target.id, instance))
--- a/rhubarbbend/core/_rendezvous.py
+++ b/rhubarbbend/core/_rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: an order of names for a key that every instance computes alike.
+"""Rendezvous hashing: a ranking of names for a key that is the same at every instance.
 
-A name that joins or leaves moves only the keys that it comes first for.
+When a name is added or removed, only the keys for which it ranks first are reassigned.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 def weigh_names(key: str, names: Iterable[str]) -> list[int]:
-    """Give each name's weight for a key; the heaviest name comes first in the order."""
+    """Return the weight of each name for a key; the name with the highest weight ranks first."""
     seed = xxhash.xxh64_intdigest(key.encode())
     return [xxhash.xxh64_intdigest(name.encode(), seed) for name in names]
 
 
 def rank_names(key: str, names: Iterable[str]) -> list[str]:
-    """Give names in rendezvous order for a key, first the heaviest."""
-    listed = list(names)
-    weights = dict(zip(listed, weigh_names(key, listed), strict=True))
-    return sorted(listed, key=weights.__getitem__, reverse=True)
+    """Return the names sorted by descending weight for a key."""
+    candidates = list(names)
+    weights = dict(zip(candidates, weigh_names(key, candidates), strict=True))
+    return sorted(candidates, key=weights.__getitem__, reverse=True)
 
 
 def place_key(key: str) -> float:
-    """Give a key's place from 0 to 1, the same at every instance."""
+    """Hash a key to a number from 0 to 1 that is the same at every instance."""
     return xxhash.xxh64_intdigest(key.encode()) / 2**64
--- a/rhubarbbend/core/_stop.py
+++ b/rhubarbbend/core/_stop.py
@@ -1,7 +1,8 @@
-"""The stop duty: a planned stop that cuts no request in flight.
+"""Planned stop of an instance without interrupting requests in flight.
 
-Readiness goes off and owned targets are handed over at once; the listening socket closes only
-after the balancer has had time to notice; the process ends when its last request has.
+The instance at once reports that it is not ready and hands over the targets that it owns. It
+closes the listening socket after the load balancer has had time to notice, and the process exits
+when its last request has ended.
 """
 
 from __future__ import annotations
@@ -17,22 +18,23 @@
 from rhubarbbend.core.owners._owner import OwnerDuty
 from rhubarbbend.core.requests._entry import EntryDuty
 
-CHECK_INTERVAL: Final = 0.1
-# How long outcomes that the table does not take may hold up the end of the process.
-OUTCOME_PATIENCE: Final = 5.0
+DRAIN_CHECK_INTERVAL_S: Final = 0.1
+# How long, beyond the balancer lag, the exit may be delayed by outcomes of commands that could not
+# be written to the table service yet.
+OUTCOME_WRITE_TIMEOUT_S: Final = 5.0
 
 
 class StopPhase(enum.Enum):
-    """How far a planned stop has come."""
+    """The phases of a planned stop, in order."""
 
     SERVING = "serving"
-    UNREADY = "unready"  # Not ready any more, still accepting.
-    DRAINING = "draining"  # Not accepting; requests in flight go on.
+    UNREADY = "unready"  # Reports that it is not ready, but still accepts connections.
+    DRAINING = "draining"  # Accepts no connections; requests in flight continue.
     ENDED = "ended"
 
 
 class StopDuty:
-    """Carries out a planned stop. Invariant: phases follow one another and never go back."""
+    """Carries out a planned stop. Invariant: the phase only advances."""
 
     def __init__(
         self,
@@ -48,14 +50,14 @@
         self._claims = claims
         self._members = members
         self._phase = StopPhase.SERVING
-        self._since = 0.0
+        self._started_at = 0.0
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle the order to stop."""
+        """Return the handler of `StopRequested`."""
         return {events.StopRequested: self._handle_stop}
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle no messages."""
+        """Return no handlers; a planned stop involves no messages of its own."""
         return {}
 
     def _handle_stop(self, event: events.StopRequested, now: float) -> None:
@@ -63,39 +65,40 @@
             return
         context = self._context
         self._phase = StopPhase.UNREADY
-        self._since = now
+        self._started_at = now
         context.stopping = True
         context.log("stop_begun", open=str(self._entry.count_open()))
         context.emit(actions.SetReady(False))
         context.fleet.instances[context.identity.instance].said_leaving = True
         context.fleet.refresh_live(now)
-        # Peers learn first that this instance leaves, then that they own its targets.
+        # Peers must learn that this instance is leaving before the handovers arrive, so that they
+        # know that they own its targets.
         self._members.announce(now)
         self._owner.hand_over_all(now)
         self._entry.register_slots(now)
-        # An instance that never was ready is not known to the balancer.
+        # An instance that was never ready is unknown to the balancer, so there is no lag to wait.
         lag = context.options.balancer_lag if context.config_ready else 0.0
         context.set_timer(now + lag, self._drain)
 
     def _drain(self, now: float) -> None:
         self._phase = StopPhase.DRAINING
         self._context.emit(actions.StopAccepting())
-        self._check_done(now)
+        self._exit_if_drained(now)
 
-    def _check_done(self, now: float) -> None:
+    def _exit_if_drained(self, now: float) -> None:
         options = self._context.options
-        waited = now - self._since
-        if options.stop_limit and waited >= options.stop_limit:
-            self._end(now)
+        elapsed = now - self._started_at
+        if options.stop_limit and elapsed >= options.stop_limit:
+            self._exit(now)
             return
-        patient = waited < options.balancer_lag + OUTCOME_PATIENCE
+        within_write_timeout = elapsed < options.balancer_lag + OUTCOME_WRITE_TIMEOUT_S
         busy = self._entry.count_open() > 0
-        if busy or (self._claims.has_pending_writes() and patient):
-            self._context.set_timer(now + CHECK_INTERVAL, self._check_done)
+        if busy or (self._claims.has_pending_writes() and within_write_timeout):
+            self._context.set_timer(now + DRAIN_CHECK_INTERVAL_S, self._exit_if_drained)
             return
-        self._end(now)
+        self._exit(now)
 
-    def _end(self, now: float) -> None:
+    def _exit(self, now: float) -> None:
         self._phase = StopPhase.ENDED
-        self._context.log("stop_done", seconds=f"{now - self._since:.1f}")
+        self._context.log("stop_done", seconds=f"{now - self._started_at:.1f}")
         self._context.emit(actions.Exit())
--- a/rhubarbbend/core/_suspects.py
+++ b/rhubarbbend/core/_suspects.py
@@ -1,9 +1,9 @@
-"""Requests that were running when their target crashed.
+"""Tracking of requests that were running on a target when it crashed.
 
-A crash makes every request that ran on the target a suspect with a count of one. A suspect's next
-attempt gets a slot only where no other suspect runs, so the second crash has a single suspect
-beside requests that have no count yet: the request that crashes targets reaches the limit and the
-ones that were beside it do not.
+A crash makes every request that ran on the target a suspect with a crash count of one. The next
+attempt of a suspect gets a slot only on a target where no other suspect is running. A second crash
+therefore involves one suspect at most: the request that causes the crashes reaches the limit, and
+requests that merely ran beside it do not.
 """
 
 from __future__ import annotations
@@ -18,19 +18,24 @@
 from rhubarbbend.core._context import Context, EventHandler
 from rhubarbbend.core.messages import CrashCount, CrashNotice, Message
 
-# A request that comes with one crash against it is held for so many seconds before it is sent. Its
-# caller may have been refused a moment ago by the instance that saw the second crash, and overtake
-# that instance's word, which took up to 7 ms between two zones on a crowded machine; sent at once,
-# the request took a third engine down in 3 of 18 runs there. It costs an innocent request, after a
-# crash beside it, as much as it takes an engine to begin an answer.
+# A request with one crash counted against it is delayed by this many seconds before it is sent. Its
+# caller may have just been refused by the instance that saw the second crash, and the repeated
+# request may arrive here before that instance's crash notice, which took up to 7 ms between two
+# zones on an overloaded machine. Without the delay the request crashed a third engine in 3 of 18
+# runs there. A request that merely ran beside a crash is delayed by about as long as an engine
+# takes to begin an answer.
 NOTICE_WAIT: Final = 0.05
 
-OnRefused = Callable[[str, float], None]
+LimitListener = Callable[[str, float], None]
 
 
 @attrs.define(slots=True)
-class Suspicion:
-    """How often a digest was running at a crash; `targets` counts each boot id once."""
+class CrashRecord:
+    """Crashes counted against a request digest.
+
+    `boots` holds the boot ids of the crashed targets, `count` is their number, and `at` is the
+    local time of the latest crash.
+    """
 
     boots: set[str]
     count: int
@@ -39,7 +44,10 @@
 
 @attrs.define(slots=True, frozen=True)
 class Crash:
-    """A crash as an attempt saw it: when it was sent, and when its connection failed."""
+    """A crash as observed by one attempt; times are local times.
+
+    `dispatched_at` is when the attempt was sent and `failed_at` when its connection failed.
+    """
 
     boot_id: str
     dispatched_at: float
@@ -47,102 +55,111 @@
 
 
 class SuspectDuty:
-    """Counts crashes by request digest. Invariant: a digest is forgotten after suspect_hold."""
+    """Counts crashes by request digest.
+
+    Invariant: a digest is removed once its latest crash is older than `suspect_hold`.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._suspicions: dict[str, Suspicion] = {}
-        # Since when each boot of a target is known to have ended.
-        self._ended: dict[str, float] = {}
-        self._on_refused: OnRefused = lambda digest, now: None
+        self._crashes_by_digest: dict[str, CrashRecord] = {}
+        # Local time at which each boot id of a target is known to have ended.
+        self._ended_at: dict[str, float] = {}
+        self._limit_listener: LimitListener = lambda digest, now: None
 
-    def set_listener(self, on_refused: OnRefused) -> None:
-        """Set what is told of a digest that has just reached the limit, with the present time."""
-        self._on_refused = on_refused
+    def set_listener(self, listener: LimitListener) -> None:
+        """Set the callback for a digest that has just reached the limit.
+
+        It is called with the digest and the current local time.
+        """
+        self._limit_listener = listener
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle the start."""
-        return {events.Started: self._start}
+        """Return the handler of `Started`."""
+        return {events.Started: self._handle_start}
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle notices of other instances."""
+        """Return the handler of crash notices from other instances."""
         return {CrashNotice: self._handle_notice}
 
     def count_crashes(self, digest: str) -> int:
-        """Give the number of crashes counted against a digest."""
-        suspicion = self._suspicions.get(digest)
-        return 0 if suspicion is None else suspicion.count
+        """Return the number of crashes counted against a digest."""
+        record = self._crashes_by_digest.get(digest)
+        return 0 if record is None else record.count
 
     def is_refused(self, digest: str) -> bool:
-        """Whether a digest has reached the limit."""
+        """Return whether a digest has reached the crash limit, so that its requests are refused."""
         return self.count_crashes(digest) >= self._context.options.suspect_limit
 
     def record_crash(self, digest: str, crash: Crash, now: float) -> None:
-        """Count a crash against a digest and tell every instance known.
+        """Count a crash against a digest and notify every known instance.
 
-        A dead target is still chosen until its owner notices. Where something in between takes the
-        connection and then closes it, a request that came after the crash looks as if it had been
-        there; sent to two dead targets it would be refused for crashes of another's making.
+        A crash is ignored if the attempt was sent after the target is known to have ended. A dead
+        target can be selected until its owner detects the failure, and a proxy on the path may
+        accept the connection and then close it, which looks like a crash during the request. A
+        request sent to two dead targets would otherwise be refused for crashes that it did not
+        cause.
         """
         boot_id = crash.boot_id
-        since = self._ended.setdefault(boot_id, crash.failed_at)
-        if crash.dispatched_at > since:
+        ended_at = self._ended_at.setdefault(boot_id, crash.failed_at)
+        if crash.dispatched_at > ended_at:
             return
-        self._ended[boot_id] = min(since, crash.failed_at)
-        if not self._add(digest, boot_id, 0.0, now):
+        self._ended_at[boot_id] = min(ended_at, crash.failed_at)
+        if not self._add_crash(digest, boot_id, 0.0, now):
             return
         self._context.count(codes.SUSPECTS)
-        suspicion = self._suspicions[digest]
+        record = self._crashes_by_digest[digest]
         notice = CrashNotice(
-            crashes=[CrashCount(digest=digest, count=suspicion.count, last_target=boot_id)]
+            crashes=[CrashCount(digest=digest, count=record.count, last_target=boot_id)]
         )
         for peer in self._context.fleet.instances:
             if peer != self._context.identity.instance:
                 self._context.send(peer, notice)
 
     def clear(self, digest: str) -> None:
-        """Forget a digest that has run to its end."""
-        self._suspicions.pop(digest, None)
+        """Remove all crashes counted against a digest, because its request has completed."""
+        self._crashes_by_digest.pop(digest, None)
 
     def list_crashes(self, now: float) -> list[CrashCount]:
-        """List what is known, for another zone that asks."""
+        """Return all crash counts, to be sent to a zone that queries them."""
         return [
             CrashCount(digest=digest, count=entry.count, age=now - entry.at, last_target=boot)
-            for digest, entry in self._suspicions.items()
-            # A set of strings has another order in each process; a replay needs one.
+            for digest, entry in self._crashes_by_digest.items()
+            # The iteration order of a set of strings differs between processes; replaying a trace
+            # requires a fixed order.
             for boot in sorted(entry.boots)
         ]
 
     def merge(self, crashes: list[CrashCount], now: float) -> None:
-        """Take over what another instance knows."""
+        """Merge the crash counts of another instance."""
         for crash in crashes:
-            self._ended.setdefault(crash.last_target, now - crash.age)
-            self._add(crash.digest, crash.last_target, crash.age, now)
+            self._ended_at.setdefault(crash.last_target, now - crash.age)
+            self._add_crash(crash.digest, crash.last_target, crash.age, now)
 
-    def _add(self, digest: str, boot_id: str, age: float, now: float) -> bool:
+    def _add_crash(self, digest: str, boot_id: str, age: float, now: float) -> bool:
         if age >= self._context.options.suspect_hold:
             return False
-        suspicion = self._suspicions.get(digest)
-        if suspicion is None:
-            suspicion = self._suspicions[digest] = Suspicion(set(), 0, now - age)
-        if boot_id in suspicion.boots:
+        record = self._crashes_by_digest.get(digest)
+        if record is None:
+            record = self._crashes_by_digest[digest] = CrashRecord(set(), 0, now - age)
+        if boot_id in record.boots:
             return False
-        suspicion.boots.add(boot_id)
-        suspicion.count = len(suspicion.boots)
-        suspicion.at = max(suspicion.at, now - age)
+        record.boots.add(boot_id)
+        record.count = len(record.boots)
+        record.at = max(record.at, now - age)
         if self.is_refused(digest):
-            self._on_refused(digest, now)
+            self._limit_listener(digest, now)
         return True
 
     def _handle_notice(self, sender: str, notice: CrashNotice, now: float) -> None:
         self.merge(notice.crashes, now)
 
-    def _start(self, event: events.Started, now: float) -> None:
+    def _handle_start(self, event: events.Started, now: float) -> None:
         self._context.repeat(self._context.options.suspect_hold / 10, self._expire, now)
 
     def _expire(self, now: float) -> None:
         oldest = now - self._context.options.suspect_hold
-        for digest in [d for d, entry in self._suspicions.items() if entry.at <= oldest]:
-            del self._suspicions[digest]
-        for boot_id in [b for b, since in self._ended.items() if since <= oldest]:
-            del self._ended[boot_id]
+        for digest in [d for d, entry in self._crashes_by_digest.items() if entry.at <= oldest]:
+            del self._crashes_by_digest[digest]
+        for boot_id in [b for b, ended_at in self._ended_at.items() if ended_at <= oldest]:
+            del self._ended_at[boot_id]
--- a/rhubarbbend/core/actions.py
+++ b/rhubarbbend/core/actions.py
@@ -1,6 +1,6 @@
-"""Typed actions: everything the core asks of the shell that carries it out.
+"""Typed actions: the operations that the core asks the shell to carry out.
 
-The shell takes no decision of its own; what it did or failed to do comes back as an event.
+The shell makes no decisions. It reports the result or the failure of an action as an event.
 """
 
 from __future__ import annotations
@@ -11,13 +11,14 @@
 
 
 class Action(msgspec.Struct, tag=True):
-    """Base of every action."""
+    """Base class of all actions."""
 
 
 class Refuse(Action):
-    """Answer a request with an error at once.
+    """Answer a request with an error.
 
-    `verdict` speaks of the request's key, `attempt` of this request alone.
+    `verdict` says whether the work named by the request's idempotency key has run; `attempt` says
+    whether this request has run it.
     """
 
     request: str
@@ -28,7 +29,7 @@
 
 
 class Reply(Action):
-    """Answer a request with a kept outcome."""
+    """Answer a request with a stored outcome."""
 
     request: str
     status: int
@@ -38,7 +39,7 @@
 
 
 class GiveKeys(Action):
-    """Answer a request for reserved keys."""
+    """Answer a request for reserved keys with the keys that were issued."""
 
     request: str
     keys: list[str]
@@ -47,8 +48,9 @@
 class Dispatch(Action):
     """Send a request to a target.
 
-    `fresh` asks for a connection that has just been opened, `fence` is the claim's generation (0
-    for none), `ticket` goes to the caller with the answer's head, `keep` asks for the outcome.
+    `fresh` requires a newly opened connection instead of an idle one. `fence` is the generation of
+    the claim, used as a fencing token (0 for none). `ticket` is passed to the caller with the head
+    of the answer. `keep` requests that the outcome be returned to the core.
     """
 
     request: str
@@ -65,10 +67,10 @@
 
 
 class Resume(Action):
-    """Continue an attempt's answer over a new connection at the offset the caller has reached.
+    """Continue an attempt's answer over a new connection, from the offset the caller has received.
 
-    Older connections of the attempt stay open until one of them has brought the answer's head;
-    `ticket` goes to the caller with it.
+    Older connections of the attempt stay open until the head of the answer has arrived on one of
+    the connections. `ticket` is passed to the caller with the head.
     """
 
     request: str
@@ -81,14 +83,14 @@
 
 
 class CutAnswer(Action):
-    """End a started answer so that the caller sees it is not whole."""
+    """End an answer that has started so that the caller can tell that it is incomplete."""
 
     request: str
     code: str
 
 
 class CancelAttempt(Action):
-    """Stop an attempt and tell the target to cancel it."""
+    """Stop an attempt and send a cancellation to the target."""
 
     attempt: str
     host: str
@@ -96,7 +98,7 @@
 
 
 class Probe(Action):
-    """Ask a target for its state over a new connection; answered by ProbeAnswered."""
+    """Query a target's state over a new connection; answered by `ProbeAnswered`."""
 
     target: str
     attempt: str
@@ -105,7 +107,7 @@
 
 
 class ReadReport(Action):
-    """Read a target's load report; answered by ReportRead or ReportFailed."""
+    """Read a target's load report; answered by `ReportRead` or `ReportFailed`."""
 
     target: str
     service_name: str
@@ -123,7 +125,10 @@
 
 
 class SendReserved(Action):
-    """Send a command to the issuer of its reserved key; the shell adds the request's body."""
+    """Send a command to the instance that issued its reserved key.
+
+    The shell adds the body of the request to the message.
+    """
 
     request: str
     peer: str
@@ -133,11 +138,14 @@
 
 
 class ReadList(Action):
-    """Read the platform's list; answered by ListRead, or by nothing if it cannot be read."""
+    """Read the platform's list; answered by `ListRead`, or not at all if the read fails."""
 
 
 class Write(msgspec.Struct):
-    """One conditional write: `expect` is the row's version, 0 for absent, -1 for any."""
+    """One conditional write.
+
+    `expect` is the version that the row must have: 0 if it must be absent, -1 for any version.
+    """
 
     table: str
     key: str
@@ -146,7 +154,10 @@
 
 
 class WriteRows(Action):
-    """Run writes in one transaction; `atomic`: all or none. Answered by WriteDone."""
+    """Send writes to the table service in one transaction; answered by `WriteDone`.
+
+    With `atomic`, either all of the writes take effect or none.
+    """
 
     op: str
     writes: list[Write]
@@ -154,7 +165,7 @@
 
 
 class ReadRow(Action):
-    """Read one row; answered by RowsRead."""
+    """Read one row; answered by `RowsRead`."""
 
     op: str
     table: str
@@ -162,7 +173,7 @@
 
 
 class ScanRows(Action):
-    """Read rows in key order after a key; answered by RowsRead."""
+    """Read up to `limit` rows in key order after a key; answered by `RowsRead`."""
 
     op: str
     table: str
@@ -171,11 +182,11 @@
 
 
 class ReadSnapshot(Action):
-    """Read the configuration snapshot; answered by SnapshotRead."""
+    """Read the configuration snapshot; answered by `SnapshotRead`."""
 
 
 class WriteSnapshot(Action):
-    """Store the configuration snapshot."""
+    """Store the configuration snapshot; answered by `SnapshotWritten`."""
 
     data: bytes
 
@@ -190,28 +201,28 @@
 
 
 class SetReady(Action):
-    """Answer the balancer's readiness check with this from now on."""
+    """Set the answer to the load balancer's readiness check."""
 
     ready: bool
 
 
 class StopAccepting(Action):
-    """Close the listening socket; requests in flight go on."""
+    """Close the listening socket; requests in flight continue."""
 
 
 class Exit(Action):
-    """All work is done; end the process with status 0."""
+    """End the process with exit status 0; all work is done."""
 
 
 class Count(Action):
-    """Add to a counter."""
+    """Increase a counter."""
 
     name: str
     by: int = 1
 
 
 class LogState(Action):
-    """Write a log line for a change of state."""
+    """Write a log line about a change of state."""
 
     what: str
     details: dict[str, str]
--- a/rhubarbbend/core/configuration.py
+++ b/rhubarbbend/core/configuration.py
@@ -1,8 +1,8 @@
-"""The accepted configuration: declarations by kind and name, each with the version it came in.
+"""The accepted configuration: declarations by kind and name, each with its version.
 
-The state is compact: it holds the newest value of each declaration, or a removal mark, and the
-version that brought it. What changed after a version is therefore served from the state itself
-and no log of changes has to be kept. Invariant: `version` never goes down.
+The state holds only the newest value of each declaration, or a tombstone if it was removed, and
+the version that set it. The changes after a version are therefore derived from the state itself,
+and no change log is needed. Invariant: `version` never decreases.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Operation(msgspec.Struct, frozen=True):
-    """One operation of a plain service; `path` may end in `*`."""
+    """One operation of a plain service; a `path` that ends in `*` matches every path below it."""
 
     path: str
     method: str = ANY_METHOD
@@ -26,7 +26,7 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account. Only the SHA-256 digest of its bearer key is kept, in hexadecimal."""
+    """A client account. Of its bearer key only the hexadecimal SHA-256 digest is stored."""
 
     name: str
     key_digest: str
@@ -35,12 +35,13 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service and how its targets may be loaded.
+    """A service and the load limits of its targets.
 
-    `kind` names a target kind plug-in, `policy` a routing policy plug-in. `bound` is the set
-    multiple of the mean load, `floor` the load that is always allowed. `cold_slots` is what a
-    target in a cold start can bear at once, `cold_requests` how many requests it has to finish
-    before it bears more; `prefill_rate` is in tokens a second.
+    `kind` names a target kind plug-in and `policy` a routing policy plug-in. The load
+    limit of a target is `bound` times the mean load, but at least `floor`. A target in a cold start
+    may run `cold_slots` requests at once until it has completed `cold_requests` requests; after
+    that its limit rises step by step. `prefill_rate` is in tokens per second; `max_wait` and the
+    timeouts are in seconds.
     """
 
     name: str
@@ -59,7 +60,7 @@
     operations: tuple[Operation, ...] = ()
 
     def find_operation(self, method: str, path: str) -> Operation | None:
-        """Find the first declared operation that fits a request."""
+        """Return the first declared operation that matches a request, or None."""
         for operation in self.operations:
             if operation.method not in (ANY_METHOD, method):
                 continue
@@ -71,7 +72,7 @@
 
 
 class Model(msgspec.Struct, frozen=True):
-    """A model, or an adapter of one, and the service whose targets run it."""
+    """A model, or an adapter of another model, and the service whose targets run it."""
 
     name: str
     service: str
@@ -80,14 +81,14 @@
 
 
 class Zone(msgspec.Struct, frozen=True):
-    """An availability zone; no new work goes to its targets while out of service."""
+    """An availability zone; its targets get no new work while it is out of service."""
 
     name: str
     in_service: bool = True
 
 
 class TargetState(msgspec.Struct, frozen=True):
-    """An operator's word on one target."""
+    """The state of one target as set by an operator; out of service, it gets no new work."""
 
     name: str
     in_service: bool = True
@@ -105,7 +106,7 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A declaration as stored; an empty value marks a removal."""
+    """A declaration as stored; an empty value is a tombstone."""
 
     kind: str
     name: str
@@ -114,7 +115,7 @@
 
 
 class Position(NamedTuple):
-    """A place in the order of changes: by version, then kind and name within one version."""
+    """A position in the order of changes: by version, then by kind and name within a version."""
 
     version: int
     kind: str = ""
@@ -122,89 +123,99 @@
 
 
 def decode_declaration(kind: str, value: bytes) -> Declaration:
-    """Decode a stored declaration; raises msgspec.MsgspecError or KeyError if it is not one.
+    """Decode a stored declaration.
 
-    Unknown fields are ignored: a newer instance may have accepted them, and refusing the whole
-    change would keep this one at its version for good.
+    Unknown fields are ignored: a newer instance may have accepted them, and rejecting the whole
+    change would prevent this instance from ever applying a later version.
+
+    Raises msgspec.MsgspecError if the value does not fit the kind, KeyError if the kind is unknown.
     """
     return msgspec.json.decode(value, type=KINDS[kind])
 
 
 class Configuration:
-    """The declarations in force.
+    """The declarations that have been applied.
+
+    `accounts` is indexed by key digest; `services`, `models`, `zones` and `targets` by name.
+    `unreadable` holds the kind and name of each item whose newest value cannot be decoded.
 
-    Invariants: typed indexes agree with the stored items that can be read, and `_order` holds the
-    position of each item in ascending order, among positions that later changes have left.
+    Invariants: the indexes agree with the stored items that can be decoded. `_positions` holds the
+    position of each item in ascending order, and may also hold positions that later changes of the
+    same items have made obsolete.
     """
 
     def __init__(self) -> None:
         self.version = 0
         self.unreadable: set[tuple[str, str]] = set()
         self._items: dict[tuple[str, str], Item] = {}
-        self._order: list[Position] = []
+        self._positions: list[Position] = []
         self.accounts: dict[str, Account] = {}
         self.services: dict[str, Service] = {}
         self.models: dict[str, Model] = {}
         self.zones: dict[str, Zone] = {}
         self.targets: dict[str, TargetState] = {}
-        self._account_digest: dict[str, str] = {}
+        self._digest_by_account: dict[str, str] = {}
 
     def apply(self, version: int, items: Iterable[Item]) -> bool:
-        """Put items of a newer version in force; an older version changes nothing.
+        """Apply the items of a newer version; return False and change nothing if it is not newer.
 
-        A platform that serves old reads, or a peer that is behind, offers versions that are
-        already in force. Taking them would revert accepted changes, so they are ignored whole.
+        Stale reads of the platform, or a peer that is behind, can deliver old versions. Applying
+        them would revert accepted changes, so they are ignored completely.
         """
         if version <= self.version:
             return False
         for item in items:
-            known = self._items.get((item.kind, item.name))
-            if known is None or known.version < item.version:
+            stored = self._items.get((item.kind, item.name))
+            if stored is None or stored.version < item.version:
                 self._store(item)
         self.version = version
-        self._compact_order()
+        self._compact_positions()
         return True
 
     def list_after(self, version: int, limit: int = 0) -> list[Item]:
-        """List what changed after a version, oldest first, at most `limit` items if given."""
+        """Return the items that changed after a version, oldest first; `limit` 0 means all."""
         return self.list_from(Position(version + 1), limit)
 
     def list_from(self, position: Position, limit: int = 0) -> list[Item]:
-        """List what comes after a position; its cost is that of the items it gives.
+        """Return the items after a position, oldest first; `limit` 0 means all.
 
-        With tens of thousands of declarations and a change every few seconds, a search through
-        all of them for each reader would cost more than everything else the follower does.
+        The cost is proportional to the number of items after the position. With tens of thousands
+        of declarations and a change every few seconds, searching all of them for each reader would
+        cost more than everything else the follower does.
         """
         found: list[Item] = []
-        for index in range(bisect.bisect_right(self._order, position), len(self._order)):
-            place = self._order[index]
-            item = self._items[(place.kind, place.name)]
-            if item.version == place.version:
+        for index in range(bisect.bisect_right(self._positions, position), len(self._positions)):
+            item_position = self._positions[index]
+            item = self._items[(item_position.kind, item_position.name)]
+            if item.version == item_position.version:
                 found.append(item)
                 if limit and len(found) == limit:
                     break
         return found
 
     def iterate_live(self) -> Iterator[Item]:
-        """Yield the declarations that are not removed."""
+        """Yield the items of all declarations that have not been removed."""
         return (item for item in self._items.values() if item.value)
 
     def is_zone_in_service(self, zone: str) -> bool:
-        """A zone nobody declared is in service."""
+        """Return whether a zone is in service; a zone that is not declared is."""
         declared = self.zones.get(zone)
         return declared is None or declared.in_service
 
     def is_target_in_service(self, target: str, zone: str) -> bool:
-        """Whether operators allow new work to a target."""
+        """Return whether operators allow new work on a target: both it and its zone in service."""
         return self.is_target_declared_in(target) and self.is_zone_in_service(zone)
 
     def is_target_declared_in(self, target: str) -> bool:
-        """A target nobody declared is in service as far as its zone is."""
+        """Return whether a target itself is in service; a target that is not declared is.
+
+        The state of its zone is not considered.
+        """
         declared = self.targets.get(target)
         return declared is None or declared.in_service
 
     def find_service(self, name: str, model: str) -> Service | None:
-        """Find a service by name, or by the model that it runs."""
+        """Return the service that runs the model, or, without a model, the service of that name."""
         if model:
             declared = self.models.get(model)
             return None if declared is None else self.services.get(declared.service)
@@ -213,17 +224,18 @@
     def _store(self, item: Item) -> None:
         key = (item.kind, item.name)
         self._items[key] = item
-        place = Position(item.version, item.kind, item.name)
-        if self._order and place < self._order[-1]:
-            bisect.insort(self._order, place)
+        item_position = Position(item.version, item.kind, item.name)
+        if self._positions and item_position < self._positions[-1]:
+            bisect.insort(self._positions, item_position)
         else:
-            self._order.append(place)
+            self._positions.append(item_position)
         self.unreadable.discard(key)
         try:
             self._index(item)
         except msgspec.MsgspecError:
-            # The former declaration stays in force. Raising would stop this and every later
-            # change here, while the instances that can read it go on without this one.
+            # The previous declaration stays in force. An exception would block this change and
+            # every later one on this instance, while other instances that can decode the value
+            # move on.
             self.unreadable.add(key)
 
     def _index(self, item: Item) -> None:
@@ -239,19 +251,19 @@
 
     def _index_account(self, item: Item) -> None:
         account = decode_declaration(item.kind, item.value) if item.value else None
-        former = self._account_digest.pop(item.name, None)
-        holder = None if former is None else self.accounts.get(former)
-        # In the same change the key may have become another account's.
-        if former is not None and holder is not None and holder.name == item.name:
-            del self.accounts[former]
+        previous_digest = self._digest_by_account.pop(item.name, None)
+        holder = None if previous_digest is None else self.accounts.get(previous_digest)
+        # The same change may already have assigned the key to another account.
+        if previous_digest is not None and holder is not None and holder.name == item.name:
+            del self.accounts[previous_digest]
         if isinstance(account, Account):
             self.accounts[account.key_digest] = account
-            self._account_digest[item.name] = account.key_digest
+            self._digest_by_account[item.name] = account.key_digest
 
-    def _compact_order(self) -> None:
-        """Drop positions that later changes have left, once they outnumber the items."""
-        if len(self._order) > 2 * len(self._items):
-            self._order = sorted(
+    def _compact_positions(self) -> None:
+        """Remove obsolete positions once there are more of them than items."""
+        if len(self._positions) > 2 * len(self._items):
+            self._positions = sorted(
                 Position(item.version, item.kind, item.name) for item in self._items.values()
             )
 
--- a/rhubarbbend/core/events.py
+++ b/rhubarbbend/core/events.py
@@ -1,8 +1,8 @@
-"""Typed events: everything that can happen to an instance, as the core sees it.
+"""Typed events: everything that can happen to an instance, as seen by the core.
 
-An event carries no time; `Core.handle` takes the present time beside it. Times inside events are
-durations in seconds unless a field says otherwise. Contents of requests never enter the core:
-digests and sizes stand for them, so a recorded trace holds no caller's words.
+An event carries no timestamp; `Core.handle` takes the current time as a separate argument. Times in
+events are durations in seconds unless a field says otherwise. The contents of requests never enter
+the core, only their digests and sizes, so a recorded trace contains no caller data.
 """
 
 from __future__ import annotations
@@ -13,17 +13,20 @@
 
 
 class Event(msgspec.Struct, tag=True):
-    """Base of every event."""
+    """Base class of all events."""
 
 
 class Started(Event):
-    """The instance starts; first event of every trace. `wall` is Unix time at `now`."""
+    """The instance starts; the first event of every trace.
+
+    `wall` is the Unix time at the `now` passed with this event.
+    """
 
     wall: float
 
 
 class SeedNamed(Event):
-    """The settings name an instance, to be asked while the platform is away."""
+    """The settings name a seed instance, which is queried while the platform is unavailable."""
 
     instance: str
     zone: str
@@ -36,10 +39,10 @@
 
 
 class RequestArrived(Event):
-    """A caller's request was read whole.
+    """A caller's request was read completely.
 
-    `key_digest` is the digest of the bearer key, `body_digest` covers operation and body,
-    `time_left` is the caller's deadline, `tokens` an estimate of the prompt's length.
+    `key_digest` is the digest of the bearer key. `body_digest` covers operation and body.
+    `time_left` is the time until the caller's deadline. `tokens` is the estimated prompt length.
     """
 
     request: str
@@ -56,18 +59,18 @@
     tokens: int = 0
     stream: bool = False
     wall: float = 0.0
-    # Set when a peer asked for this run under a reserved key that this instance issued.
+    # Set if a peer forwarded the request, because this instance issued its reserved key.
     on_behalf_of: str = ""
 
 
 class CallerLeft(Event):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     request: str
 
 
 class KeysRequested(Event):
-    """A caller asks for reserved keys."""
+    """A caller requests reserved keys."""
 
     request: str
     key_digest: str
@@ -75,7 +78,7 @@
 
 
 class AttemptHead(Event):
-    """The target began to answer an attempt, `after` seconds since dispatch."""
+    """The target began to answer an attempt, `after` seconds after dispatch."""
 
     attempt: str
     status: int
@@ -83,7 +86,7 @@
 
 
 class AttemptDone(Event):
-    """The target's answer was whole. The outcome is given only for claimed attempts."""
+    """The target's answer is complete; content type and body are set only for claimed attempts."""
 
     attempt: str
     status: int
@@ -94,10 +97,10 @@
 
 
 class AttemptFailed(Event):
-    """An attempt got no whole answer. `stage` is a SendStage value, "refused" or "not_found".
+    """An attempt got no complete answer. `stage` is a SendStage value, "refused" or "not_found".
 
-    `reused` says that an idle connection carried it, `relayed` how many bytes of body the caller
-    has already been given.
+    `reused` says whether it was sent on an idle connection. `relayed` is the number of body bytes
+    already sent to the caller.
     """
 
     attempt: str
@@ -108,9 +111,10 @@
 
 
 class ProbeAnswered(Event):
-    """A target was asked for its state over a new connection; empty boot id: no answer.
+    """Result of a probe of a target over a new connection; the boot id is empty without an answer.
 
-    `silent` tells a target that gave no sign at all from one whose address refused or closed.
+    `silent` distinguishes a target that did not respond at all from one whose address refused or
+    closed the connection.
     """
 
     target: str
@@ -120,7 +124,7 @@
 
 
 class ReportRead(Event):
-    """A target's load report. `age` is how old the target says its figures are."""
+    """A target's load report. `age` is the age of the values as stated by the target."""
 
     target: str
     boot_id: str
@@ -139,7 +143,7 @@
 
 
 class PeerSaid(Event):
-    """A message came from another instance."""
+    """A message arrived from another instance."""
 
     sender: str
     message: Message
@@ -165,13 +169,13 @@
 
 
 class ListRead(Event):
-    """The platform's list, which may lag."""
+    """The platform's list was read; it may lag."""
 
     entries: list[Listed]
 
 
 class Row(msgspec.Struct):
-    """One row of a platform table; `version` grows with each write."""
+    """One row of a platform table; `version` increases with each write."""
 
     key: str
     value: bytes
@@ -179,11 +183,11 @@
 
 
 class WriteDone(Event):
-    """The table service answered a transaction.
+    """The outcome of a transaction of the table service.
 
-    `status` is "done" or "unknown" (no answer: it may have taken effect, or may still do so).
-    With "done", `rows` tells for each write the row now in the table and `applied` whether this
-    write put it there.
+    `status` is "done" or "unknown" (no answer: the transaction may have taken effect, or may still
+    do so). With "done", `rows` holds the current row for each write, and `applied` whether this
+    write stored it.
     """
 
     op: str
@@ -193,7 +197,7 @@
 
 
 class RowsRead(Event):
-    """The table service answered a read or scan; `status` is "done" or "failed"."""
+    """The outcome of a read or scan of the table service; `status` is "done" or "failed"."""
 
     op: str
     status: str
@@ -201,20 +205,23 @@
 
 
 class SnapshotRead(Event):
-    """The object store answered; empty data: there is none, or it could not be read."""
+    """The outcome of a snapshot read; data is empty if none exists or it could not be read."""
 
     status: str
     data: bytes = b""
 
 
 class SnapshotWritten(Event):
-    """The object store took a snapshot, or gave no word; `status` is "done" or "failed"."""
+    """The outcome of a snapshot write; `status` is "done" or "failed"."""
 
     status: str
 
 
 class ChangeProposed(Event):
-    """An operator sends a change set; items are (kind, name, JSON value or empty to remove)."""
+    """An operator proposes a change set.
+
+    Items are tuples of kind, name and JSON value; an empty value removes the declaration.
+    """
 
     op: str
     change_id: str
@@ -224,11 +231,11 @@
 
 
 class VersionsAsked(Event):
-    """An operator wants to see how far every instance has come."""
+    """An operator queries which configuration version each instance has applied."""
 
 
 class StopRequested(Event):
-    """The process was told to stop."""
+    """The process was asked to stop."""
 
 
 class ProcessPaused(Event):
--- a/rhubarbbend/core/messages.py
+++ b/rhubarbbend/core/messages.py
@@ -1,7 +1,7 @@
 """Typed messages between instances: the in-memory form of schema/peers.thrift.
 
-Field names equal the schema's, which `rhubarbbend.peers` relies on to encode them. Times are in
-seconds. A message is data only; what it means is decided by the duty that receives it.
+Class and field names equal those of the schema, because `rhubarbbend.peers` encodes messages by
+name. Times are in seconds. A message is data only; the component that receives it interprets it.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 
 class Message(msgspec.Struct):
-    """Base of every message. Invariant: each field has a default, as in the schema."""
+    """Base class of all messages. Invariant: every field has a default, as in the schema."""
 
-    # The field of the Envelope that carries this message; empty for parts of messages.
+    # Name of the Envelope field that carries this message; empty for types nested in messages.
     FIELD: ClassVar[str] = ""
 
 
 class TargetLoad(Message, tag=True):
-    """Load of one target as its owner counts it."""
+    """Load of one target as counted by its owner."""
 
     target: str = ""
     boot_id: str = ""
@@ -40,7 +40,7 @@
 
 
 class Heartbeat(Message, tag=True):
-    """Sent once a second to each instance of the own zone."""
+    """State of the sender, sent once a second to each instance of its zone."""
 
     FIELD: ClassVar[str] = "heartbeat"
 
@@ -56,7 +56,7 @@
 
 
 class ZoneQuery(Message, tag=True):
-    """Asks an instance of another zone for its zone's sums; answered by ZoneReply."""
+    """Asks an instance of another zone for that zone's load sums; answered by ZoneReply."""
 
     FIELD: ClassVar[str] = "zone_query"
 
@@ -66,7 +66,7 @@
 
 
 class ZoneReply(Message, tag=True):
-    """Answer to ZoneQuery."""
+    """Reply to ZoneQuery: the load sums and crash counts of the sender's zone."""
 
     FIELD: ClassVar[str] = "zone_reply"
 
@@ -80,16 +80,17 @@
 
 
 class LoadFigure(Message, tag=True):
-    """The load of one target that the sender owns."""
+    """Load of one target that the sender owns."""
 
     target: str = ""
     load: int = 0
 
 
 class SlotMessage(Message, tag=True):
-    """What slot traffic carries along: the newest loads, so that the mean is as new as it.
+    """Base class of the slot messages; they carry the sender's newest loads.
 
-    `figures` goes to instances of the own zone, `sums` to those of other zones.
+    The receiver's mean load is thus as recent as its last slot message. `figures` is set in
+    messages to the own zone, `sums` in messages to other zones.
     """
 
     target: str = ""
@@ -98,7 +99,7 @@
 
 
 class SlotRequest(SlotMessage, tag=True):
-    """Asks the owner of a target for a slot; waits at most max_wait seconds in its queue."""
+    """Asks the owner of a target for a slot; may wait in its queue for `max_wait` seconds."""
 
     FIELD: ClassVar[str] = "slot_request"
 
@@ -115,7 +116,7 @@
 
 
 class SlotReply(SlotMessage, tag=True):
-    """Answer to a SlotRequest. `refusal` is empty when the slot is granted."""
+    """Reply to SlotRequest; `refusal` is empty if the slot is granted."""
 
     FIELD: ClassVar[str] = "slot_reply"
 
@@ -130,7 +131,7 @@
 
 
 class SlotRelease(SlotMessage, tag=True):
-    """Frees a slot, or withdraws a request for one."""
+    """Releases a slot, or withdraws a request for one."""
 
     FIELD: ClassVar[str] = "slot_release"
 
@@ -139,14 +140,14 @@
     completed: bool = False
     first_byte: float = 0.0
     total: float = 0.0
-    # Whether the attempt was sent, whether it failed at the target, and how long its prompt is.
+    # Whether the attempt was sent, whether it failed at the target, and the length of its prompt.
     sent: bool = False
     failed: bool = False
     tokens: int = 0
 
 
 class HeldSlot(Message, tag=True):
-    """One running attempt that holds a slot."""
+    """A running attempt that holds a slot."""
 
     attempt: str = ""
     account: str = ""
@@ -154,7 +155,7 @@
 
 
 class SlotRenewal(Message, tag=True):
-    """Every slot that an instance holds at a target; sent to the target's owner, old or new."""
+    """All slots that an instance holds at a target, sent to the target's current or new owner."""
 
     FIELD: ClassVar[str] = "slot_renewal"
 
@@ -165,7 +166,7 @@
 
 
 class Handover(Message, tag=True):
-    """The former owner of a target has stopped granting and gives its count to the successor."""
+    """Transfers a target's held slots to its new owner; the sender has stopped granting slots."""
 
     FIELD: ClassVar[str] = "handover"
 
@@ -176,7 +177,7 @@
 
 
 class ClaimQuery(Message, tag=True):
-    """Asks the holder of a claim what became of its attempt."""
+    """Asks the holder of a claim for the state of its attempt; answered by ClaimReply."""
 
     FIELD: ClassVar[str] = "claim_query"
 
@@ -186,7 +187,10 @@
 
 
 class ClaimReply(Message, tag=True):
-    """state: never, running, done, unknown. The outcome comes with done, age with never."""
+    """Reply to ClaimQuery; `state` is "never", "running", "done" or "unknown".
+
+    The outcome is set if the state is "done", `age` if it is "never".
+    """
 
     FIELD: ClassVar[str] = "claim_reply"
 
@@ -203,7 +207,7 @@
 class ReservedRun(Message, tag=True):
     """Asks the issuer of a reserved key to run a command under it; answered by ReservedReply.
 
-    `arrived` is the Unix time at which the sender read its caller's request.
+    `arrived` is the Unix time at which the sender read the caller's request.
     """
 
     FIELD: ClassVar[str] = "reserved_run"
@@ -223,7 +227,7 @@
 
 
 class ReservedReply(Message, tag=True):
-    """Answer to ReservedRun; `at` is the Unix time at which it was decided."""
+    """Reply to ReservedRun; `at` is the Unix time at which the answer was decided."""
 
     FIELD: ClassVar[str] = "reserved_reply"
 
@@ -238,7 +242,7 @@
 
 
 class CrashCount(Message, tag=True):
-    """How often a request digest was running when its target crashed."""
+    """Number of crashes counted against a request digest; `last_target` is a boot id."""
 
     digest: str = ""
     count: int = 0
@@ -247,7 +251,7 @@
 
 
 class CrashNotice(Message, tag=True):
-    """Answer to CrashNotice."""
+    """Notifies other instances of crashes counted against request digests; has no reply."""
 
     FIELD: ClassVar[str] = "crash_notice"
 
@@ -255,7 +259,7 @@
 
 
 class ConfigItem(Message, tag=True):
-    """One declaration of the configuration as of a version; removed when value is empty."""
+    """One declaration of the configuration and its version; an empty value is a tombstone."""
 
     kind: str = ""
     name: str = ""
@@ -264,9 +268,10 @@
 
 
 class ConfigQuery(Message, tag=True):
-    """Asks for what changed after a version; answered by ConfigReply, page by page.
+    """Asks for one page of the items changed after a version; answered by ConfigReply.
 
-    The position is that of the last item received, (after + 1, "", "") for the first page.
+    The `from_` fields hold the position of the last item received, which is (after + 1, "", "")
+    for the first page.
     """
 
     FIELD: ClassVar[str] = "config_query"
@@ -281,7 +286,7 @@
 class ConfigReply(Message, tag=True):
     """A page of the items changed after a version, in the order of their positions.
 
-    `version` is the sender's version; it is reached with the page that has no `more` after it.
+    `version` is the sender's version; the receiver has reached it after a page without `more`.
     """
 
     FIELD: ClassVar[str] = "config_reply"
@@ -297,7 +302,10 @@
 
 
 class MembersQuery(Message, tag=True):
-    """Asks a peer whom it knows; used when the platform's list cannot be read."""
+    """Asks a peer for the instances and targets it knows, when the platform's list is unreadable.
+
+    Answered by MembersReply.
+    """
 
     FIELD: ClassVar[str] = "members_query"
 
@@ -305,7 +313,7 @@
 
 
 class Member(Message, tag=True):
-    """Answer to Member."""
+    """An instance or target that the sender knows."""
 
     id: str = ""
     kind: str = ""
@@ -318,7 +326,7 @@
 
 
 class MembersReply(Message, tag=True):
-    """Answer to MembersQuery."""
+    """Reply to MembersQuery."""
 
     FIELD: ClassVar[str] = "members_reply"
 
--- a/rhubarbbend/kernel/__init__.py
+++ b/rhubarbbend/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The kernel: plug-ins that register themselves, and the order in which an instance comes up."""
+"""Plug-in registries: plug-in classes register themselves under a name and are looked up by it."""
 
 from rhubarbbend.kernel._registry import Registry, UnknownPluginError
 
--- a/rhubarbbend/kernel/_registry.py
+++ b/rhubarbbend/kernel/_registry.py
@@ -1,4 +1,4 @@
-"""A registry of plug-ins of one kind: each registers itself under a name when its module loads."""
+"""Registry of the plug-ins of one kind; a plug-in registers when its module is imported."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 
 
 class UnknownPluginError(LookupError):
-    """A name that no plug-in of the kind has registered."""
+    """Raised when no plug-in of the kind is registered under the requested name."""
 
 
 class Registry(Generic[T]):
-    """Plug-in classes by name. Invariant: a name is registered once."""
+    """Plug-in classes by name. Invariant: each name is registered at most once."""
 
     def __init__(self, kind: str) -> None:
         self._kind = kind
         self._classes: dict[str, type[T]] = {}
 
     def register(self, name: str) -> Callable[[type[T]], type[T]]:
-        """Decorate a plug-in class to make it known under `name`."""
+        """Return a class decorator that registers a plug-in under `name`.
+
+        The decorator raises ValueError if the name is already registered.
+        """
 
         def add(plugin: type[T]) -> type[T]:
             if name in self._classes:
@@ -31,7 +34,10 @@
         return add
 
     def find(self, name: str) -> type[T]:
-        """Find a plug-in class or raise `UnknownPluginError` naming those that exist."""
+        """Return the plug-in class registered under `name`.
+
+        Raises UnknownPluginError, which lists the registered names, if there is none.
+        """
         try:
             return self._classes[name]
         except KeyError:
@@ -39,5 +45,5 @@
             raise UnknownPluginError(f"no {self._kind} {name!r}; known: {known}") from None
 
     def list_names(self) -> list[str]:
-        """List the registered names in order."""
+        """Return the registered names, sorted."""
         return sorted(self._classes)
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -99,7 +99,7 @@
     for version in range(2, 20_000):
         configuration.apply(version, [Item("zone", "z", version, b'{"name": "z"}')])
     # Positions that later changes have left are dropped, so memory does not grow with changes.
-    assert len(configuration._order) <= 2 * (len(items) + 1) + 1
+    assert len(configuration._positions) <= 2 * (len(items) + 1) + 1
     assert [item.version for item in configuration.list_after(19_990)] == [19_999]
 
 
