--- a/tests/core/__init__.py
+++ b/tests/core/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the core, driven by events alone."""
+"""Tests of the core; they pass events to it directly, without sockets or a shell."""
--- a/tests/core/drive.py
+++ b/tests/core/drive.py
@@ -1,4 +1,4 @@
-"""Drives cores by events with a time of the test's own; messages go between them at once."""
+"""Helpers that drive several cores by events at simulated times, without network delay."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 def make_core(
     name: str, zone: str = "a", seed: int = 1, options: CoreOptions | None = None
 ) -> Core:
-    """Make a core that has not started."""
+    """Create a core that has not started."""
     identity = Identity(name, zone, "127.0.0.1", 1, 2, 7, b"s" * 16)
     return Core(identity, options or CoreOptions(), seed)
 
 
 def start_core(name: str, zone: str = "a", now: float = 0.0, **options: float) -> Core:
-    """Start a core whose platform has no snapshot."""
+    """Create and start a core; the object store holds no configuration snapshot."""
     core = make_core(name, zone, options=CoreOptions(**options))  # type: ignore[arg-type]
     core.handle(events.Started(1_000.0), now)
     core.handle(events.SnapshotRead("done"), now)
@@ -30,14 +30,14 @@
 
 
 def introduce(core: Core, other: Core, now: float = 0.0) -> None:
-    """Let a core know of another, as a seed does."""
+    """Make another core known to a core as a seed instance."""
     identity = other.context.identity
     seed = events.SeedNamed(identity.instance, identity.zone, identity.host, identity.peer_port)
     core.handle(seed, now)
 
 
 def make_row(version: int, *items: tuple[str, str, bytes], author: str = "ana") -> events.Row:
-    """Make the table row of an accepted change."""
+    """Return the table row of an accepted change."""
     change = {
         "version": version,
         "change_id": f"id-{version}",
@@ -48,41 +48,45 @@
 
 
 def make_zone(name: str, in_service: bool) -> tuple[str, str, bytes]:
-    """Make the item of a zone."""
+    """Return the item of a zone, as kind, name and JSON value."""
     value = msgspec.json.encode({"name": name, "in_service": in_service})
     return "zone", name, value
 
 
 def scan(core: Core, now: float, *rows: events.Row, status: str = "done") -> list[actions.Action]:
-    """Answer the core's read of the changes."""
+    """Answer the core's scan of the configuration changes and return the resulting actions."""
     return core.handle(events.RowsRead("config:scan", status, list(rows)), now)
 
 
 def pick(found: list[actions.Action], kind: type[T]) -> list[T]:
-    """Pick the actions of one kind."""
+    """Return the actions of one type."""
     return [action for action in found if isinstance(action, kind)]
 
 
 def relay(
     cores: dict[str, Core], sender: str, found: list[actions.Action], now: float, limit: int = 1000
 ) -> int:
-    """Deliver the messages among actions, and those that follow; counts them."""
-    waiting = [(sender, action) for action in pick(found, actions.SendPeer)]
+    """Deliver the messages among actions and all that they cause; return the number delivered.
+
+    Messages to instances that are not in `cores` are dropped. More than `limit` messages fail the
+    test.
+    """
+    queue = [(sender, action) for action in pick(found, actions.SendPeer)]
     delivered = 0
-    while waiting:
-        origin, action = waiting.pop(0)
+    while queue:
+        origin, action = queue.pop(0)
         if action.peer not in cores:
             continue
         delivered += 1
-        assert delivered <= limit, "messages without end"
+        assert delivered <= limit, "more messages were delivered than the limit allows"
         event = events.PeerSaid(origin, action.message)
         more = cores[action.peer].handle(event, now)
-        waiting.extend((action.peer, a) for a in pick(more, actions.SendPeer))
+        queue.extend((action.peer, a) for a in pick(more, actions.SendPeer))
     return delivered
 
 
 def run_timers(core: Core, until: float) -> list[actions.Action]:
-    """Let time pass for a core; gives every action."""
+    """Run the timers of a core that are due until a time; return all resulting actions."""
     found: list[actions.Action] = []
     due = core.next_timer()
     while due is not None and due <= until:
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -1,7 +1,7 @@
-"""Fakes at the core's interfaces: a table, a way between instances, targets, and a clock.
+"""Fakes for the interfaces of the core: table service, network, targets and clock.
 
-Nothing happens by itself: writes, messages and runs stay pending until a test picks what becomes
-of each, so that a test can put events in any order.
+Writes and runs stay pending until the test decides their outcome, and so do the messages of
+HELD_MESSAGE_TYPES when `hold_messages` is set. Tests can thus produce events in any order.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 WALL = 1_700_000_000.0
 SERVICE = "booking"
 ENGINE = "planner"
-HELD_BACK = (ClaimQuery, ClaimReply, ReservedRun, ReservedReply)
+HELD_MESSAGE_TYPES = (ClaimQuery, ClaimReply, ReservedRun, ReservedReply)
 
 DECLARATIONS = [
     ("account", Account(ACCOUNT, ACCOUNT)),
@@ -45,7 +45,7 @@
 
 @attrs.define(slots=True, eq=False)
 class PendingWrite:
-    """A transaction that has not been answered; `rows` is set once it has taken effect."""
+    """A transaction that has not been answered; `applied` and `rows` are set when it is applied."""
 
     instance: str
     action: actions.WriteRows
@@ -55,7 +55,7 @@
 
 @attrs.define(slots=True, eq=False)
 class PendingRun:
-    """A dispatch that has not been answered."""
+    """A dispatched attempt that the target has not answered yet."""
 
     instance: str
     action: actions.Dispatch
@@ -63,7 +63,7 @@
 
 @attrs.define(slots=True, eq=False)
 class PendingMessage:
-    """A message between instances that has not been delivered."""
+    """A message between instances that has not been delivered yet."""
 
     sender: str
     peer: str
@@ -72,7 +72,7 @@
 
 @attrs.define(slots=True, frozen=True)
 class FinalAnswer:
-    """What a caller was told at a step; `body` of a reply."""
+    """The final answer to a caller, and the step at which it was given; `body` is of a reply."""
 
     step: int
     code: str
@@ -81,7 +81,7 @@
 
 
 class World:
-    """Cores of a few instances, one target of each service for each zone, and what is pending."""
+    """A fake fleet: the cores of a few instances, one target per service and zone, pending work."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self.answers: dict[str, list[FinalAnswer]] = {}
         self.keys: list[str] = []
         self.arrived: dict[str, tuple[int, str]] = {}
-        # The callers' requests behind the ids that issuers of reserved keys know.
+        # Maps the request ids used by issuers of reserved keys to the callers' request ids.
         self.forwarded: dict[str, str] = {}
         self.counters: Counter[str] = Counter()
         self.frozen: dict[str, float] = {}
@@ -111,15 +111,15 @@
         self.zones = zones
         self.options = options or CoreOptions()
         self._events: deque[tuple[str, events.Event]] = deque()
-        self._late: dict[str, list[events.Event]] = {}
-        self._handling = False
+        self._held_events: dict[str, list[events.Event]] = {}
+        self._is_handling = False
         for index, name in enumerate(zones):
             self.start(name, 1, skews[index] if index < len(skews) else 0.0)
         for _ in range(3):
             self.advance(0.6)
 
     def start(self, name: str, incarnation: int, skew: float = 0.0) -> None:
-        """Start an instance; one of that name is gone, with all that it knew."""
+        """Start an instance, replacing one of the same name; the state of the old one is lost."""
         identity = Identity(name, self.zones[name], name, 1, 2, incarnation, SECRET)
         core = self.cores[name] = Core(identity, self.options, seed=len(self.cores))
         self.writes = [write for write in self.writes if write.instance != name]
@@ -132,46 +132,46 @@
         core.context.config_ready = True
 
     def feed(self, instance: str, event: events.Event) -> None:
-        """Give an event to an instance, or keep it while the instance is frozen."""
+        """Pass an event to an instance, or hold it back while the instance is frozen."""
         self._events.append((instance, event))
-        if self._handling:
+        if self._is_handling:
             return
-        self._handling = True
+        self._is_handling = True
         while self._events:
-            name, present = self._events.popleft()
+            name, next_event = self._events.popleft()
             if name in self.frozen:
-                self._late[name].append(present)
+                self._held_events[name].append(next_event)
                 continue
-            if isinstance(present, events.RequestArrived):
+            if isinstance(next_event, events.RequestArrived):
                 self.step += 1
-                self.arrived[present.request] = (self.step, present.key)
-            for action in self.cores[name].handle(present, self.now):
+                self.arrived[next_event.request] = (self.step, next_event.key)
+            for action in self.cores[name].handle(next_event, self.now):
                 self._perform(name, action)
-        self._handling = False
+        self._is_handling = False
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time and run the timers that are due."""
         end = self.now + seconds
         while True:
             due = [c.next_timer() or end for n, c in self.cores.items() if n not in self.frozen]
-            first = min([*due, end])
-            self.now = max(self.now, first)
+            next_time = min([*due, end])
+            self.now = max(self.now, next_time)
             for name in self.cores:
                 if name not in self.frozen:
                     self.feed(name, events.TimerDue())
-            if first >= end:
+            if next_time >= end:
                 return
 
     def freeze(self, name: str) -> None:
-        """Stop an instance without its noticing."""
+        """Pause the process of an instance; it does not notice."""
         self.frozen[name] = self.now
-        self._late[name] = []
+        self._held_events[name] = []
 
     def thaw(self, name: str) -> None:
-        """Let an instance go on; what came meanwhile comes now."""
-        away = self.now - self.frozen.pop(name)
-        self.feed(name, events.ProcessPaused(away))
-        for event in self._late.pop(name):
+        """Resume a paused instance and pass it the events that arrived in the meantime."""
+        paused_s = self.now - self.frozen.pop(name)
+        self.feed(name, events.ProcessPaused(paused_s))
+        for event in self._held_events.pop(name):
             self.feed(name, event)
 
     def send(
@@ -185,7 +185,7 @@
         account: str = ACCOUNT,
         service: str = SERVICE,
     ) -> None:
-        """Let a caller's request arrive; with a key it is a command."""
+        """Pass a caller's request to an instance; with an idempotency key it is a command."""
         self.answers.setdefault(request, [])
         event = events.RequestArrived(
             request,
@@ -201,26 +201,26 @@
         self.feed(instance, event)
 
     def reserve(self, instance: str) -> str:
-        """Get a reserved key of an instance."""
+        """Request a reserved key from an instance and return it."""
         self.feed(instance, events.KeysRequested("keys", ACCOUNT, 1))
         return self.keys[-1]
 
     def apply(self, write: PendingWrite) -> None:
-        """Let a transaction take effect."""
+        """Apply a transaction to the table without answering it."""
         if write.applied is not None:
             return
         write.applied = []
         for entry in write.action.writes:
             row = self.table.get(entry.key)
-            fits = entry.expect == (0 if row is None else row.version)
-            if fits:
+            matches = entry.expect == (0 if row is None else row.version)
+            if matches:
                 row = events.Row(entry.key, entry.value, entry.expect + 1)
                 self.table[entry.key] = row
-            write.applied.append(fits)
+            write.applied.append(matches)
             write.rows.append(row)
 
     def answer(self, write: PendingWrite) -> None:
-        """Let a transaction take effect and its answer come."""
+        """Apply a transaction to the table and answer it."""
         self.apply(write)
         self.writes.remove(write)
         assert write.applied is not None
@@ -228,12 +228,12 @@
         self.feed(write.instance, done)
 
     def lose(self, write: PendingWrite) -> None:
-        """Let a transaction end without an answer; whether it took effect is as it is."""
+        """End a transaction with an unknown outcome; it stays applied if it was."""
         self.writes.remove(write)
         self.feed(write.instance, events.WriteDone(write.action.op, "unknown"))
 
     def settle(self) -> None:
-        """Answer every transaction and deliver every message until none is left."""
+        """Answer all transactions and deliver all messages until none is pending."""
         while self.writes or self.messages:
             for write in list(self.writes):
                 self.answer(write)
@@ -247,17 +247,17 @@
             self.feed(pending.peer, events.PeerSaid(pending.sender, pending.message))
 
     def finish(self, run: PendingRun, body: bytes = b"done") -> None:
-        """Let a target answer."""
+        """Complete a run with an answer from its target."""
         self.runs.remove(run)
         self.feed(run.instance, events.AttemptDone(run.action.attempt, 200, 0.1, body=body))
 
     def fail(self, run: PendingRun, stage: str) -> None:
-        """Let an attempt fail; the target is well when it is probed."""
+        """Fail the attempt of a run at a stage; a probe that follows is added to `probes`."""
         self.runs.remove(run)
         self.feed(run.instance, events.AttemptFailed(run.action.attempt, stage, "fault"))
 
     def read_answer(self, request: str) -> FinalAnswer:
-        """Give the one final answer of a request."""
+        """Return the final answer to a request; fail unless there is exactly one."""
         found = self.answers[request]
         assert len(found) == 1, (request, found)
         return found[0]
@@ -265,8 +265,8 @@
     def _perform(self, name: str, action: actions.Action) -> None:
         if isinstance(action, actions.SendReserved):
             assert isinstance(action.message, ReservedRun)
-            known = make_peer_request(name, action.message.request)
-            self.forwarded[known] = action.request
+            peer_request = make_peer_request(name, action.message.request)
+            self.forwarded[peer_request] = action.request
         if isinstance(action, actions.SendPeer | actions.SendReserved):
             self._send(PendingMessage(name, action.peer, action.message))
         elif isinstance(action, actions.WriteRows):
@@ -278,9 +278,9 @@
         elif isinstance(action, actions.Probe):
             self.probes.append((name, action))
         elif isinstance(action, actions.Refuse):
-            self._note(action.request, action.code, action.verdict)
+            self._record_answer(action.request, action.code, action.verdict)
         elif isinstance(action, actions.Reply):
-            self._note(action.request, "", "ran", action.body)
+            self._record_answer(action.request, "", "ran", action.body)
         elif isinstance(action, actions.GiveKeys):
             self.keys.extend(action.keys)
         elif isinstance(action, actions.ReadReport):
@@ -298,13 +298,13 @@
             request = make_peer_request(pending.peer, pending.message.request)
             self.answers.setdefault(request, [])
         self.messages.append(pending)
-        if not (self.hold_messages and isinstance(pending.message, HELD_BACK)):
+        if not (self.hold_messages and isinstance(pending.message, HELD_MESSAGE_TYPES)):
             self.messages.remove(pending)
             if pending.peer in self.cores:
                 event = events.PeerSaid(pending.sender, pending.message)
                 self._events.append((pending.peer, event))
 
-    def _note(self, request: str, code: str, verdict: str, body: bytes = b"") -> None:
+    def _record_answer(self, request: str, code: str, verdict: str, body: bytes = b"") -> None:
         self.step += 1
         answer = FinalAnswer(self.step, code, verdict, body)
         self.answers.setdefault(request, []).append(answer)
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -1,4 +1,4 @@
-"""Properties of the accepted configuration: it only moves forward, and copies converge."""
+"""Tests of the accepted configuration: its version never decreases, and copies converge."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rhubarbbend.core.configuration import Configuration, Item, Position
 
 NAMES = ["a", "b", "c", "d"]
-# A log of change sets: for each version, the zones that it writes or removes.
+# A log of change sets: for each version, the zones that it sets (True, False) or removes (None).
 ENTRY = st.tuples(st.sampled_from(NAMES), st.sampled_from([True, False, None]))
 LOGS = st.lists(st.lists(ENTRY, min_size=1, max_size=4, unique_by=lambda e: e[0]), max_size=12)
 
 
 def make_items(log: list[list[tuple[str, bool | None]]]) -> list[list[Item]]:
-    """Make the items of each version, from version 1."""
+    """Return the items of each version, starting with version 1."""
     return [
         [
             Item(
@@ -30,66 +30,69 @@
     ]
 
 
-def build(versions: list[list[Item]]) -> Configuration:
-    """Apply versions one by one."""
+def build_configuration(versions: list[list[Item]]) -> Configuration:
+    """Return a configuration to which the versions were applied one by one."""
     configuration = Configuration()
     for number, items in enumerate(versions, 1):
         configuration.apply(number, items)
     return configuration
 
 
-def describe(configuration: Configuration) -> tuple[int, list[Item], dict[str, bool]]:
-    """Describe everything that copies have to agree on."""
+def get_state(configuration: Configuration) -> tuple[int, list[Item], dict[str, bool]]:
+    """Return everything that copies must agree on."""
     zones = {name: zone.in_service for name, zone in configuration.zones.items()}
     return configuration.version, configuration.list_after(0), zones
 
 
 @given(LOGS, st.data())
-def test_any_order_and_repetition_never_lowers_the_version_and_converges(
+def test_copies_converge_under_reordered_and_repeated_updates(
     log: list[list[tuple[str, bool | None]]], data: st.DataObject
 ) -> None:
-    """A copy is offered what others hold at any of their versions, again and in any order.
+    """Guard against stale updates that revert changes, and against copies that differ for good.
 
-    Lagging tables and peers that are behind do just that. An older offer must change nothing,
-    and once the newest state has been offered the copy must equal it.
+    Lagging table reads and peers that are behind deliver updates of any version, repeatedly and in
+    any order. An older update must change nothing. After the newest one the copy must equal it.
     """
     versions = make_items(log)
     copy = Configuration()
-    offers = data.draw(st.lists(st.integers(0, len(versions)), max_size=20))
-    for offer in [*offers, len(versions)]:
-        source = build(versions[:offer])
-        before = describe(copy)
-        taken = copy.apply(source.version, source.list_after(copy.version))
-        assert copy.version == max(before[0], offer)
-        assert taken == (offer > before[0])
-        if not taken:
-            assert describe(copy) == before
-        # A copy at a version is the state that every other copy has at it.
-        assert describe(copy) == describe(build(versions[: copy.version]))
+    update_versions = data.draw(st.lists(st.integers(0, len(versions)), max_size=20))
+    for update_version in [*update_versions, len(versions)]:
+        source = build_configuration(versions[:update_version])
+        before = get_state(copy)
+        applied = copy.apply(source.version, source.list_after(copy.version))
+        assert copy.version == max(before[0], update_version)
+        assert applied == (update_version > before[0])
+        if not applied:
+            assert get_state(copy) == before
+        # All copies at one version have the same state.
+        assert get_state(copy) == get_state(build_configuration(versions[: copy.version]))
 
 
 @given(LOGS, st.integers(0, 12), st.integers(1, 5))
-def test_pages_of_any_size_give_every_change_once(
+def test_pages_of_any_size_contain_every_change_once(
     log: list[list[tuple[str, bool | None]]], after: int, size: int
 ) -> None:
-    source = build(make_items(log))
-    whole = source.list_after(after)
-    assert whole == sorted(whole, key=lambda i: (i.version, i.kind, i.name))
-    paged: list[Item] = []
+    source = build_configuration(make_items(log))
+    all_changes = source.list_after(after)
+    assert all_changes == sorted(all_changes, key=lambda i: (i.version, i.kind, i.name))
+    paged_changes: list[Item] = []
     position = Position(after + 1)
     while True:
         page = source.list_from(position, size)
-        paged.extend(page)
+        paged_changes.extend(page)
         if len(page) < size:
             break
         position = Position(page[-1].version, page[-1].kind, page[-1].name)
-    assert paged == whole
+    assert paged_changes == all_changes
     expected = {(i.kind, i.name): i for i in source.list_after(0) if i.version > after}
-    assert {(i.kind, i.name): i for i in whole} == expected
+    assert {(i.kind, i.name): i for i in all_changes} == expected
 
 
-def test_cost_of_following_is_that_of_the_changes() -> None:
-    """With 35,000 accounts and a change every few seconds, readers must not search all of them."""
+def test_change_positions_stay_bounded() -> None:
+    """Guard the cost of reading changes, and the memory, against growth with the number of changes.
+
+    With 35,000 accounts and a change every few seconds, readers must not search all of them.
+    """
     configuration = Configuration()
     items = [
         Item("account", f"n{i}", 1, msgspec.json.encode({"name": f"n{i}", "key_digest": f"{i:x}"}))
@@ -98,16 +101,17 @@
     configuration.apply(1, items)
     for version in range(2, 20_000):
         configuration.apply(version, [Item("zone", "z", version, b'{"name": "z"}')])
-    # Positions that later changes have left are dropped, so memory does not grow with changes.
+    # Obsolete positions are removed, so memory does not grow with the number of changes.
     assert len(configuration._positions) <= 2 * (len(items) + 1) + 1
     assert [item.version for item in configuration.list_after(19_990)] == [19_999]
 
 
-def test_a_declaration_that_cannot_be_read_stops_nothing() -> None:
-    """A newer instance accepts a field or a value that this one does not know.
+def test_undecodable_declaration_does_not_block_later_changes() -> None:
+    """Guard against an instance that stops applying changes after one that it cannot decode.
 
-    Raising here would leave this instance at its version for good, and a zone that operators
-    take out later would go on getting work through it.
+    A newer instance may accept a field or value that an older one does not know. If the older one
+    raised an error it would never advance, and would keep sending work to zones that operators
+    take out of service later.
     """
     configuration = Configuration()
     configuration.apply(1, [Item("zone", "a", 1, b'{"name": "a", "colour": "red"}')])
@@ -119,7 +123,7 @@
     assert not configuration.unreadable
 
 
-def test_bearer_keys_change_hands_in_one_change() -> None:
+def test_accounts_can_swap_bearer_keys_in_one_change() -> None:
     def account(name: str, digest: str) -> bytes:
         return msgspec.json.encode({"name": name, "key_digest": digest})
 
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -1,4 +1,4 @@
-"""Ownership and the sums of the load, as computed from an instance's views."""
+"""Tests of target ownership and load sums, as computed from the views of one instance."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from rhubarbbend.core.configuration import Configuration, Service
 
 ZONES = ["almaty-a", "almaty-b", "almaty-c"]
-SILENCE = 3.0
+SILENCE_TIMEOUT_S = 3.0
 
 
 def make_fleet(own: str, members: list[tuple[str, str]], targets: int = 30) -> Fleet:
     zones = dict(members)
-    fleet = Fleet(own, zones[own], SILENCE)
+    fleet = Fleet(own, zones[own], SILENCE_TIMEOUT_S)
     for name, zone in members:
         fleet.instances[name] = InstanceView(name, zone, "h", 1, listed=True)
     for number in range(targets):
@@ -35,14 +35,14 @@
 )
 
 
-@given(members=MEMBERS, shuffled=st.randoms(use_true_random=False))
-def test_instances_whose_lists_agree_name_the_same_owner(
-    members: list[tuple[str, str]], shuffled: Random
+@given(members=MEMBERS, random=st.randoms(use_true_random=False))
+def test_instances_with_equal_lists_compute_the_same_owners(
+    members: list[tuple[str, str]], random: Random
 ) -> None:
     zones = dict(members)
     first = list_owners(make_fleet(members[0][0], members))
     other = list(members)
-    shuffled.shuffle(other)
+    random.shuffle(other)
     assert list_owners(make_fleet(other[0][0], other)) == first
     for target, owner in first.items():
         zone = ZONES[int(target.rpartition("-")[2]) % 3]
@@ -50,27 +50,29 @@
 
 
 @given(members=MEMBERS, data=st.data())
-def test_only_the_targets_of_an_instance_that_leaves_move(
+def test_only_targets_of_a_leaving_instance_change_owner(
     members: list[tuple[str, str]], data: st.DataObject
 ) -> None:
     own, own_zone = members[0]
     fleet = make_fleet(own, members)
     before = list_owners(fleet)
-    leaver = data.draw(st.sampled_from([name for name, _ in members]))
-    if leaver == own:
+    leaving_instance = data.draw(st.sampled_from([name for name, _ in members]))
+    if leaving_instance == own:
         return
-    fleet.instances[leaver].listed_leaving = True
+    fleet.instances[leaving_instance].listed_leaving = True
     assert fleet.refresh_live(1.0)
     after = list_owners(fleet)
-    alone = [zone for _, zone in members].count(dict(members)[leaver]) == 1
+    is_only_instance_of_zone = [zone for _, zone in members].count(
+        dict(members)[leaving_instance]
+    ) == 1
     for target, owner in before.items():
-        assert after[target] != leaver
-        if owner != leaver and not alone:
+        assert after[target] != leaving_instance
+        if owner != leaving_instance and not is_only_instance_of_zone:
             assert after[target] == owner
-    # What is kept of earlier computations equals a computation from nothing.
-    rest = [member for member in members if member[0] != leaver]
-    assert after == list_owners(make_fleet(own, rest))
-    fleet.instances[leaver].listed_leaving = False
+    # Cached owners equal those that a new fleet computes.
+    remaining = [member for member in members if member[0] != leaving_instance]
+    assert after == list_owners(make_fleet(own, remaining))
+    fleet.instances[leaving_instance].listed_leaving = False
     assert fleet.refresh_live(2.0)
     assert list_owners(fleet) == before
 
@@ -80,7 +82,9 @@
         st.tuples(st.integers(0, 29), st.integers(0, 9), st.booleans(), st.booleans()), max_size=60
     )
 )
-def test_running_sums_equal_a_fresh_sum(changes: list[tuple[int, int, bool, bool]]) -> None:
+def test_incremental_sums_equal_a_full_recomputation(
+    changes: list[tuple[int, int, bool, bool]],
+) -> None:
     fleet = make_fleet("entry-0", [("entry-0", ZONES[0])])
     configuration = Configuration()
     for number, load, ready, leaving in changes:
@@ -91,14 +95,16 @@
         fleet.note_target(view, configuration)
         if load == 9:
             fleet.remove_target(view.id)
-    fresh = [v for v in fleet.targets.values() if v.ready and not v.leaving and v.updated >= 0]
-    expected = (sum(view.load for view in fresh), len(fresh))
+    ready_views = [
+        v for v in fleet.targets.values() if v.ready and not v.leaving and v.updated >= 0
+    ]
+    expected = (sum(view.load for view in ready_views), len(ready_views))
     assert fleet.compute_mean(Service(name="planner"), configuration) == expected
 
 
-def test_sums_of_a_zone_that_has_gone_silent_expire() -> None:
-    # Zone b is cut off while it carries much. Its last sums would hold the mean up for ever, and
-    # with it the limit of every target here.
+def test_sums_of_a_silent_zone_expire() -> None:
+    # Zone b is partitioned while its load is high. If its last sums did not expire, they would keep
+    # the mean load too high, and with it the limit of every target here.
     fleet = make_fleet("entry-0", [("entry-0", ZONES[0])])
     configuration = Configuration()
     fleet.zone_sums[ZONES[1]] = ZoneSums(10.0, {"planner": LoadSum(900, 10)})
@@ -109,7 +115,7 @@
     assert fleet.compute_mean(Service(name="planner"), configuration) == (0, 0)
 
 
-def test_an_instance_of_another_zone_is_passed_over_at_once_and_gone_only_later() -> None:
+def test_unreachable_instance_of_another_zone_owns_its_targets_until_the_timeout() -> None:
     members = [("entry-0", ZONES[0]), ("entry-1", ZONES[1]), ("entry-2", ZONES[2])]
     fleet = make_fleet("entry-0", members)
     target = next(view for view in fleet.targets.values() if view.zone == ZONES[1])
@@ -117,5 +123,5 @@
     assert not fleet.refresh_live(2.0)
     assert fleet.find_owner(target) == "entry-1"
     assert not fleet.is_reachable("entry-1")
-    assert fleet.refresh_live(1.0 + SILENCE + 0.1)
+    assert fleet.refresh_live(1.0 + SILENCE_TIMEOUT_S + 0.1)
     assert fleet.find_owner(target) == "entry-2"
--- a/tests/core/test_stop.py
+++ b/tests/core/test_stop.py
@@ -1,4 +1,4 @@
-"""The stop duty by events: signals at any time, hand-over, keys that the instance has issued."""
+"""Tests of the planned stop: stop requests at any time, handover, and reserved keys."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 STOP = events.StopRequested()
 
 
-def test_a_second_signal_changes_nothing() -> None:
-    """An impatient script sends SIGTERM twice; nothing may be cut or begun again for that."""
+def test_second_stop_request_is_ignored() -> None:
+    """Guard against a second SIGTERM that interrupts requests or restarts the planned stop."""
     core = start_owner(("t1", "a", "live"))
     found = core.handle(STOP, 10.0)
     assert pick(found, actions.SetReady) == [actions.SetReady(False)]
@@ -24,11 +24,11 @@
     assert len(pick(found, actions.Exit)) == 1
 
 
-def test_a_stop_during_the_start_ends_at_once_and_never_gets_ready() -> None:
-    """SIGTERM comes while the platform is down and no configuration has been read.
+def test_stop_during_startup_exits_at_once_and_never_becomes_ready() -> None:
+    """SIGTERM arrives while the platform is down and no configuration has been read.
 
-    The balancer does not know the instance, so there is no lag to wait for; an answer that comes
-    late must not make it ready again.
+    The balancer does not know the instance yet, so the stop need not wait for the balancer lag. A
+    configuration that arrives late must not make the instance ready.
     """
     core = start_core("e1")
     core.handle(STOP, 0.5)
@@ -38,8 +38,8 @@
     assert pick(later, actions.SetReady) == []
 
 
-def test_the_only_instance_goes_on_granting_until_it_ends() -> None:
-    """The fleet has no other instance: nobody could grant the slots that this one gave up."""
+def test_only_instance_grants_slots_until_it_exits() -> None:
+    """Without another instance in the fleet, nobody could grant slots for targets handed over."""
     core = start_owner(("t1", "a", "live"))
     core.handle(STOP, 10.0)
     assert core.owner.owns("t1")
@@ -49,31 +49,33 @@
     assert len(pick(found, actions.WriteRows)) == 1 and not pick(found, actions.Refuse)
 
 
-def test_an_owner_tells_its_leave_before_it_hands_over() -> None:
-    """A target has a running slot when its owner stops.
+def test_owner_announces_leaving_before_handover() -> None:
+    """Guard against a handover that arrives before the message that the owner is leaving.
 
-    The successor has to know that it owns the target before the count comes, or it would drop
-    the count, grant as if nothing ran there, and redirect callers back.
+    A slot is in use when the owner stops. If the successor did not know yet that it owns the
+    target, it would drop the handover, grant slots as if the target were idle, and redirect slot
+    requests back to the former owner.
     """
     core = start_owner(("t1", "a", "live"))
-    # One that comes after it in the rendezvous order of the target.
+    # An instance that ranks after e1 in the rendezvous order of the target.
     name = next(f"s{n}" for n in range(99) if rank("t1", f"s{n}") < rank("t1", "e1"))
     introduce(core, start_core(name), 3.6)
     core.handle(events.PeerSaid(name, Heartbeat(instance=name, zone="a", host="h")), 4.0)
     introduce(core, start_core("e2", zone="b"), 4.0)
     assert read_refusals(ask(core, "x1", 4.1)) == [("x1", "")]
     sent = [action.message for action in pick(core.handle(STOP, 10.0), actions.SendPeer)]
-    leaves = [n for n, m in enumerate(sent) if isinstance(m, Heartbeat) and m.leaving]
+    leaving_heartbeats = [n for n, m in enumerate(sent) if isinstance(m, Heartbeat) and m.leaving]
     handovers = [n for n, m in enumerate(sent) if isinstance(m, Handover)]
-    assert min(leaves) < min(handovers)
+    assert min(leaving_heartbeats) < min(handovers)
     handover = next(message for message in sent if isinstance(message, Handover))
     assert [slot.attempt for holder in handover.holders for slot in holder.slots] == ["x1"]
 
 
 def test_reserved_keys_of_a_stopping_instance_still_run_there() -> None:
-    """A caller holds a reserved key of an instance that is stopping.
+    """A caller holds a reserved key issued by an instance that is stopping.
 
-    Only its issuer may run it. It gives no new keys, but runs what it has issued to the end.
+    Only the issuer may run a command under the key. A stopping instance issues no new keys, but
+    completes commands under the keys that it has issued.
     """
     core = start_owner(("t1", "a", "live"))
     keys = KeyIssuer(core.context).issue("desk", 1, 9.0)
@@ -90,20 +92,21 @@
     assert len(pick(run_timers(core, 14.0), actions.Exit)) == 1
 
 
-def test_a_stopping_instance_says_so_whenever_it_asks() -> None:
-    """While it stops it asks a zone that it had lost whether it can be reached again.
+def test_zone_queries_of_a_stopping_instance_are_marked_leaving() -> None:
+    """Guard against a stopping instance that appears to be staying.
 
-    That question did not say that it leaves, and whoever had been told before took the word back:
-    its targets were its own again while it gave them up.
+    While stopping, it queries an unreachable zone. When the query did not say that the instance was
+    leaving, the receiver reset the leaving state and again took it for the owner of targets that it
+    was handing over.
     """
     core = start_core("e1", "a")
     listed = [events.Listed(name, "instance", zone, "h", 1, 2) for name, zone in (("e2", "b"),)]
     core.handle(events.ListRead(listed), 1.0)
     core.handle(STOP, 2.0)
     core.handle(events.PeerLost("e2"), 2.1)
-    asked = [
+    queries = [
         action.message
         for action in pick(run_timers(core, 8.0), actions.SendPeer)
         if isinstance(action.message, ZoneQuery)
     ]
-    assert asked and all(query.leaving for query in asked)
+    assert queries and all(query.leaving for query in queries)
