--- a/rhubarbbend/core/_context.py
+++ b/rhubarbbend/core/_context.py
@@ -145,7 +145,7 @@
         heapq.heappush(self._timers, (at, next(self._sequence), callback))
 
     def repeat(self, interval: float, callback: Callback, now: float) -> None:
-        """Run a callback now and then periodically, with a jitter of a tenth of the interval.
+        """Run a callback at once, then periodically with a jitter of a tenth of the interval.
 
         Without jitter, instances that start together would poll the platform in lockstep for ever.
         """
--- a/rhubarbbend/core/_fleet.py
+++ b/rhubarbbend/core/_fleet.py
@@ -123,9 +123,9 @@
         """Return whether an instance is believed to be alive, so that it may be given work.
 
         An instance of the own zone is alive if its last message arrived within the silence
-        timeout. Before its first message it is alive for that time after it was first listed. An
-        instance of another zone is alive while it is listed, unless messages to it have failed
-        for longer than the timeout.
+        timeout. Before its first message it is alive while it is listed, for that time after it
+        was first seen. An instance of another zone is alive while it is listed, unless messages to
+        it have failed for longer than the timeout.
         """
         if view.id == self.own_id:
             return True
@@ -172,10 +172,11 @@
                 self._owners[target] = best
 
     def find_owner(self, target: TargetView) -> str:
-        """Return the id of the target's owner, chosen by rendezvous hashing among its zone.
+        """Return the id of the target's owner.
 
-        If no instance of the target's zone is live, the owner is chosen from the next zone in name
-        order (wrapping around), so that the targets of a zone outlive its instances.
+        The owner is chosen by rendezvous hashing among the live instances of the target's zone. If
+        that zone has none, it is chosen from the next zone in name order (wrapping around), so that
+        the targets of a zone outlive its instances.
         """
         owner = self._owners.get(target.id)
         if owner is None:
--- a/rhubarbbend/core/configuration.py
+++ b/rhubarbbend/core/configuration.py
@@ -18,7 +18,7 @@
 
 
 class Operation(msgspec.Struct, frozen=True):
-    """One operation of a plain service; a `path` that ends in `*` matches every path below it."""
+    """An operation of a plain service; a `path` that ends in `*` matches by prefix."""
 
     path: str
     method: str = ANY_METHOD
@@ -37,11 +37,11 @@
 class Service(msgspec.Struct, frozen=True):
     """A service and the load limits of its targets.
 
-    `kind` names a target kind plug-in and `policy` a routing policy plug-in. The load
-    limit of a target is `bound` times the mean load, but at least `floor`. A target in a cold start
-    may run `cold_slots` requests at once until it has completed `cold_requests` requests; after
-    that its limit rises step by step. `prefill_rate` is in tokens per second; `max_wait` and the
-    timeouts are in seconds.
+    `kind` names a target kind plug-in and `policy` a routing policy plug-in. The load limit of a
+    target is `bound` times the mean load, but at least `floor`. A target in a cold start may run
+    `cold_slots` requests at once until it has completed `cold_requests` requests; after that its
+    limit rises step by step. `prefill_rate` is in tokens per second; `max_wait` and the timeouts
+    are in seconds.
     """
 
     name: str
--- a/rhubarbbend/core/events.py
+++ b/rhubarbbend/core/events.py
@@ -212,7 +212,7 @@
 
 
 class SnapshotWritten(Event):
-    """The outcome of a snapshot write; `status` is "done" or "failed"."""
+    """The outcome of a snapshot write; `status` is "done", or "failed" also without an answer."""
 
     status: str
 
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -18,7 +18,7 @@
 
 SECRET = b"a secret for tests of the core"
 ACCOUNT = "pilgrim-groups"
-WALL = 1_700_000_000.0
+START_UNIX_TIME_S = 1_700_000_000.0
 SERVICE = "booking"
 ENGINE = "planner"
 HELD_MESSAGE_TYPES = (ClaimQuery, ClaimReply, ReservedRun, ReservedReply)
@@ -72,7 +72,7 @@
 
 @attrs.define(slots=True, frozen=True)
 class FinalAnswer:
-    """The final answer to a caller, and the step at which it was given; `body` is of a reply."""
+    """The final answer to a caller and the step at which it was given; only replies have a body."""
 
     step: int
     code: str
@@ -81,7 +81,7 @@
 
 
 class World:
-    """A fake fleet: the cores of a few instances, one target per service and zone, pending work."""
+    """A fake fleet: the cores of a few instances, one target per service and zone, and a table."""
 
     def __init__(
         self,
@@ -124,7 +124,7 @@
         core = self.cores[name] = Core(identity, self.options, seed=len(self.cores))
         self.writes = [write for write in self.writes if write.instance != name]
         self.runs = [run for run in self.runs if run.instance != name]
-        self.feed(name, events.Started(WALL + self.now + skew))
+        self.feed(name, events.Started(START_UNIX_TIME_S + self.now + skew))
         items = [
             Item(kind, value.name, 1, msgspec.json.encode(value)) for kind, value in DECLARATIONS
         ]
