--- a/rhubarbbend/core/accepted/__init__.py
+++ b/rhubarbbend/core/accepted/__init__.py
@@ -1,5 +1,6 @@
-"""The accepted configuration: following it, proposing a change, checking one, snapshots of it.
+"""The accepted configuration: replication, proposals of changes, validation and snapshots.
 
-Each module but `_validation` is a duty. Nothing is imported here, because duties of different
-folders know one another's types.
+Each module except `_validation` holds one component of the core (a `Duty`, see
+`rhubarbbend.core._context`). Nothing is imported here, because components of different folders
+import one another's types, and imports here would be circular.
 """
--- a/rhubarbbend/core/accepted/_follower.py
+++ b/rhubarbbend/core/accepted/_follower.py
@@ -1,7 +1,8 @@
-"""The follower duty: keeps the configuration at the newest accepted version.
+"""Replicates the accepted configuration to this instance.
 
-Instances read only the changes after their own version: from the table, from the instance that
-accepted a change and sends it on, or from any peer whose heartbeat shows a newer version.
+An instance reads only the changes after its own version. They come from the change table, from
+the instance that accepted a change and broadcasts it, or from any peer whose heartbeat or zone
+message shows a newer version.
 """
 
 from __future__ import annotations
@@ -16,27 +17,33 @@
 from rhubarbbend.core._context import Context, EventHandler
 from rhubarbbend.core.accepted._snapshots import Snapshot, SnapshotDuty
 from rhubarbbend.core.configuration import Item, Position
-from rhubarbbend.core.members._polls import SharedPoll
+from rhubarbbend.core.members._polls import ZonePollScheduler
 from rhubarbbend.core.messages import ConfigItem, ConfigQuery, ConfigReply, Message
 
 CHANGE_TABLE: Final = "changes"
 SCAN_OP: Final = "config:scan"
-SCAN_LIMIT: Final = 100
-# A page is bounded in bytes well below a peer frame; one declaration may go over it.
-PAGE_ITEMS: Final = 500
-PAGE_BYTES: Final = 65_536
-# A change up to this size is sent to every instance at once; of a larger one, only the version.
-PUSH_BYTES: Final = 8_192
-# A read whose answer never came is given up after this long.
-SCAN_TIMEOUT: Final = 5.0
-FOLLOW_TIMEOUT: Final = 1.0
-START_PEERS: Final = 3
-# An instance that starts waits this long for a peer's word before it trusts the table alone.
-START_PATIENCE: Final = 3.0
+MAX_SCAN_ROWS: Final = 100
+# Limits of one page sent to a peer, well below the size of a peer frame. The last declaration of a
+# page may exceed the limit in bytes.
+MAX_PAGE_ITEMS: Final = 500
+MAX_PAGE_BYTES: Final = 65_536
+# A change up to this size is sent whole to every instance when it is accepted. For a larger change
+# only the version is sent.
+MAX_PUSH_BYTES: Final = 8_192
+# A table scan or peer query without a reply is abandoned after this time.
+SCAN_TIMEOUT_S: Final = 5.0
+PEER_QUERY_TIMEOUT_S: Final = 1.0
+# Number of peers that an instance queries at once until its configuration is ready.
+STARTUP_PEERS: Final = 3
+# An instance that starts waits this long for a reply of a peer before it trusts the table alone.
+STARTUP_PEER_TIMEOUT_S: Final = 3.0
 
 
 class Change(msgspec.Struct, frozen=True):
-    """An accepted change set as stored; an item's empty value removes the declaration."""
+    """An accepted change set as stored in the change table.
+
+    An item is a kind, a name and an encoded declaration; an empty value removes the declaration.
+    """
 
     version: int
     change_id: str
@@ -44,13 +51,17 @@
     items: list[tuple[str, str, bytes]]
 
     def list_items(self) -> list[Item]:
-        """List the items with the version that they came in."""
+        """Return the items, each with the version of this change set."""
         return [Item(kind, name, self.version, value) for kind, name, value in self.items]
 
 
 @attrs.define(slots=True)
 class Download:
-    """Pages of one peer that are not in force yet; `position` is the last item's."""
+    """Pages received from one peer that are not applied yet.
+
+    The pages hold the changes after version `after`; `position` is the position of the last item
+    received, from which the next page is requested.
+    """
 
     peer: str
     after: int
@@ -59,29 +70,29 @@
 
 
 def make_change_key(version: int) -> str:
-    """Make the table key of a version; keys sort as versions do."""
+    """Return the table key of a version, zero-padded so that keys sort in order of version."""
     return f"{version:016d}"
 
 
 class FollowerDuty:
-    """Follows accepted changes. Invariant: the version in force only grows."""
+    """Replicates accepted changes. Invariant: the version of the configuration never decreases."""
 
     def __init__(self, context: Context, snapshots: SnapshotDuty) -> None:
         self._context = context
         self._snapshots = snapshots
-        self._poll = SharedPoll(context, context.options.config_interval)
+        self._poll_scheduler = ZonePollScheduler(context, context.options.config_interval)
         self._started_at = 0.0
-        self._scanning_since = -1.0
-        self._table_read = False
+        self._scan_started_at = -1.0
+        self._table_scanned = False
         self._list_read = False
-        self._peer_heard = False
-        self._peer_complete = False
+        self._peer_replied = False
+        self._synced_with_peer = False
         self._download: Download | None = None
-        self._following_until = 0.0
-        self._unreadable_key = ""
+        self._peer_query_deadline = 0.0
+        self._last_unreadable_key = ""
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle the start and the platform's answers."""
+        """Return handlers of the start and of replies of the platform."""
         return {
             events.Started: self._start,
             events.ListRead: self._handle_list,
@@ -90,121 +101,122 @@
         }
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle what peers ask and tell of the configuration."""
+        """Return handlers of peers' configuration queries and replies."""
         return {ConfigQuery: self._handle_query, ConfigReply: self._handle_reply}
 
     def scan(self, now: float) -> None:
-        """Read the changes after the version in force, unless a read is under way."""
-        if self._scanning_since >= 0 and now - self._scanning_since < SCAN_TIMEOUT:
+        """Read the changes after the current version, unless a scan is in progress."""
+        if self._scan_started_at >= 0 and now - self._scan_started_at < SCAN_TIMEOUT_S:
             return
-        self._scanning_since = now
+        self._scan_started_at = now
         after = make_change_key(self._context.configuration.version)
-        self._context.emit(actions.ScanRows(SCAN_OP, CHANGE_TABLE, after, SCAN_LIMIT))
+        self._context.emit(actions.ScanRows(SCAN_OP, CHANGE_TABLE, after, MAX_SCAN_ROWS))
 
-    def take_change(self, change: Change) -> None:
-        """Put the change after the version in force in force; any other changes nothing."""
+    def apply_change(self, change: Change) -> None:
+        """Apply a change if it directly follows the current version; ignore any other."""
         version = self._context.configuration.version
         if change.version == version + 1:
-            self._apply(change.version, change.list_items())
+            self._apply_items(change.version, change.list_items())
         elif change.version <= version:
-            # A copy of the table that lags serves old rows.
+            # A replica of the table that lags behind returns old rows.
             self._context.count(codes.CONFIG_STALE)
 
     def push(self, change: Change, now: float) -> None:
-        """Send a change that was just accepted here to every instance.
+        """Send a change that this instance has just accepted to every other instance.
 
-        The platform may fail between the acceptance and the next read of the others. Heartbeats
-        would bring it to the own zone in a second and to the rest in some more; a zone that is
-        out of service would get work in between.
+        The platform may fail between the acceptance and the next scan of the other instances.
+        Heartbeats would then bring the change to this availability zone within a second and to
+        the other zones some seconds later. Until then, a zone that the change takes out of
+        service would still get work.
         """
         context = self._context
         size = sum(len(value) for _, _, value in change.items)
         message = ConfigReply(after=change.version, version=change.version)
-        if size <= PUSH_BYTES:
+        if size <= MAX_PUSH_BYTES:
             message = _make_reply(change.version - 1, change.version, change.list_items())
         for peer in context.fleet.instances:
             if peer != context.identity.instance:
                 context.send(peer, message)
                 context.count(codes.CONFIG_PUSHED)
 
-    def follow(self, peer: str, version: int, now: float) -> None:
-        """Ask a peer for what it has beyond the version in force.
+    def handle_peer_version(self, peer: str, version: int, now: float) -> None:
+        """Query a peer for the changes after the current version if the peer has a newer one.
 
-        One peer is asked at a time: after a change every heartbeat shows a newer version, and the
-        same pages would otherwise come from each instance of the zone.
+        Only one query is in flight at a time: after a change every heartbeat shows a newer
+        version, and each instance of the zone would otherwise send the same pages.
         """
-        if version > self._context.configuration.version and now >= self._following_until:
-            self._ask(peer, now)
+        if version > self._context.configuration.version and now >= self._peer_query_deadline:
+            self._query_peer(peer, now)
 
-    # The table and the snapshot.
+    # The change table and the snapshot.
 
     def _start(self, event: events.Started, now: float) -> None:
         self._started_at = now
         # The first scan starts where the snapshot ends.
-        self._scanning_since = now
+        self._scan_started_at = now
         self._context.emit(actions.ReadSnapshot())
-        self._context.repeat(self._context.options.config_interval, self._tick, now)
+        self._context.repeat(self._context.options.config_interval, self._poll_changes, now)
 
-    def _tick(self, now: float) -> None:
+    def _poll_changes(self, now: float) -> None:
         if not self._context.config_ready:
-            self._ask_some(now)
+            self._query_startup_peers(now)
             self._check_ready(now)
-        if self._poll.take_turn(now) or not self._context.config_ready:
+        if self._poll_scheduler.acquire_turn(now) or not self._context.config_ready:
             self.scan(now)
 
     def _handle_list(self, event: events.ListRead, now: float) -> None:
         if not self._list_read:
             self._list_read = True
-            self._ask_some(now)
+            self._query_startup_peers(now)
             self._check_ready(now)
 
     def _handle_snapshot(self, event: events.SnapshotRead, now: float) -> None:
-        self._scanning_since = -1.0
+        self._scan_started_at = -1.0
         if event.data:
-            self._take_snapshot(event.data)
+            self._apply_snapshot(event.data)
         self.scan(now)
 
-    def _take_snapshot(self, data: bytes) -> None:
+    def _apply_snapshot(self, data: bytes) -> None:
         try:
             snapshot = msgspec.msgpack.decode(data, type=Snapshot)
         except msgspec.MsgspecError:
             self._context.log("snapshot_unreadable")
             return
-        self._apply(snapshot.version, snapshot.items)
-        self._snapshots.note_stored(snapshot.version)
+        self._apply_items(snapshot.version, snapshot.items)
+        self._snapshots.record_stored(snapshot.version)
 
     def _handle_rows(self, event: events.RowsRead, now: float) -> None:
         if event.op != SCAN_OP:
             return
-        self._scanning_since = -1.0
+        self._scan_started_at = -1.0
         context = self._context
         if event.status != "done":
             context.platform_failed = now
             context.count(codes.PLATFORM_ERRORS)
             return
         context.platform_worked = now
-        before = context.configuration.version
+        version_before = context.configuration.version
         for row in event.rows:
-            self._take_row(row)
-        if len(event.rows) >= SCAN_LIMIT and context.configuration.version > before:
+            self._apply_row(row)
+        if len(event.rows) >= MAX_SCAN_ROWS and context.configuration.version > version_before:
             self.scan(now)
             return
-        self._table_read = True
+        self._table_scanned = True
         self._check_ready(now)
-        self._snapshots.check(now)
+        self._snapshots.schedule_check(now)
 
-    def _take_row(self, row: events.Row) -> None:
+    def _apply_row(self, row: events.Row) -> None:
         try:
             change = msgspec.json.decode(row.value, type=Change)
         except msgspec.MsgspecError:
             self._context.count(codes.CONFIG_UNREADABLE)
-            if self._unreadable_key != row.key:
-                self._unreadable_key = row.key
+            if self._last_unreadable_key != row.key:
+                self._last_unreadable_key = row.key
                 self._context.log("change_unreadable", key=row.key)
             return
-        self.take_change(change)
+        self.apply_change(change)
 
-    def _apply(self, version: int, items: list[Item]) -> None:
+    def _apply_items(self, version: int, items: list[Item]) -> None:
         configuration = self._context.configuration
         unreadable = len(configuration.unreadable)
         if not configuration.apply(version, items):
@@ -217,20 +229,21 @@
             self._context.log("declaration_unreadable", version=str(version))
 
     def _check_ready(self, now: float) -> None:
-        """Become ready once there is reason to think that no newer version was accepted.
+        """Mark the configuration ready once it is unlikely that a newer version was accepted.
 
-        A table that serves old reads looks complete. Taken alone, it would bring a change that
-        operators have made back to what it was, for callers of an instance that was restarted;
-        hence a peer is asked too, whose version never went down.
+        A table that returns stale reads looks complete. An instance that restarts and trusts it
+        alone would revert a change of operators for its callers. So a peer is queried too, because
+        the version of a running instance never decreases.
         """
         context = self._context
         if context.config_ready or not context.members_known:
-            # Without any target known every request would be refused, which others could serve.
+            # With no target known, this instance would refuse every request, although other
+            # instances could serve it.
             return
-        alone = self._list_read and len(context.fleet.instances) <= 1
-        late = now - self._started_at >= START_PATIENCE
-        checked = self._table_read and (self._peer_heard or alone or late)
-        if not checked and not self._peer_complete:
+        is_alone = self._list_read and len(context.fleet.instances) <= 1
+        has_timed_out = now - self._started_at >= STARTUP_PEER_TIMEOUT_S
+        is_confirmed = self._table_scanned and (self._peer_replied or is_alone or has_timed_out)
+        if not is_confirmed and not self._synced_with_peer:
             return
         context.config_ready = True
         context.log("configuration_ready", version=str(context.configuration.version))
@@ -239,18 +252,18 @@
 
     # Peers.
 
-    def _ask_some(self, now: float) -> None:
-        """Ask a few instances, the own zone's first; one that starts may find no platform."""
+    def _query_startup_peers(self, now: float) -> None:
+        """Query a few instances, those of this zone first, as the platform may be unavailable."""
         context = self._context
         own = context.identity
         peers = [view for view in context.fleet.instances.values() if view.id != own.instance]
         context.random.shuffle(peers)
         peers.sort(key=lambda view: view.zone != own.zone)
-        for view in [*peers[: START_PEERS - 1], *peers[-1:]]:
-            self._ask(view.id, now)
+        for view in [*peers[: STARTUP_PEERS - 1], *peers[-1:]]:
+            self._query_peer(view.id, now)
 
-    def _ask(self, peer: str, now: float) -> None:
-        self._following_until = now + FOLLOW_TIMEOUT
+    def _query_peer(self, peer: str, now: float) -> None:
+        self._peer_query_deadline = now + PEER_QUERY_TIMEOUT_S
         version = self._context.configuration.version
         self._send_query(peer, version, Position(version + 1))
 
@@ -265,7 +278,7 @@
         self._context.send(peer, query)
 
     def _handle_query(self, sender: str, message: ConfigQuery, now: float) -> None:
-        """Give a peer one page of what changed after its version."""
+        """Send a peer one page of the items that changed after its version."""
         configuration = self._context.configuration
         if not self._context.config_ready:
             self._context.send(sender, ConfigReply(after=message.after, ready=False))
@@ -274,9 +287,9 @@
         position = max(position, Position(message.after + 1))
         page: list[Item] = []
         size = 0
-        found = configuration.list_from(position, PAGE_ITEMS + 1)
-        for item in found[:PAGE_ITEMS]:
-            if size >= PAGE_BYTES:
+        found = configuration.list_from(position, MAX_PAGE_ITEMS + 1)
+        for item in found[:MAX_PAGE_ITEMS]:
+            if size >= MAX_PAGE_BYTES:
                 break
             page.append(item)
             size += len(item.value) + len(item.name)
@@ -286,25 +299,25 @@
         self._context.send(sender, reply)
 
     def _handle_reply(self, sender: str, message: ConfigReply, now: float) -> None:
-        self._peer_heard = True
+        self._peer_replied = True
         version = self._context.configuration.version
         if message.ready and message.version > version:
-            self._take_page(sender, message, now)
+            self._handle_page(sender, message, now)
         elif message.ready:
-            self._peer_complete = True
-            self._following_until = now
+            self._synced_with_peer = True
+            self._peer_query_deadline = now
             if message.version < version:
                 self._context.count(codes.CONFIG_STALE)
         self._check_ready(now)
 
-    def _take_page(self, sender: str, message: ConfigReply, now: float) -> None:
-        """Collect pages and put them in force together, as one step to the sender's version.
+    def _handle_page(self, sender: str, message: ConfigReply, now: float) -> None:
+        """Collect pages and apply them together, in one step to the sender's version.
 
-        A page taken alone would claim a version some of whose declarations come only with a
-        later page, because the sender holds just the newest value of each.
+        The sender holds only the newest value of each declaration. A page applied alone would set
+        a version some of whose declarations arrive only with a later page.
         """
         if message.after > self._context.configuration.version:
-            self.follow(sender, message.version, now)
+            self.handle_peer_version(sender, message.version, now)
             return
         position = Position(message.from_version, message.from_kind, message.from_name)
         download = self._find_download(sender, message.after, position)
@@ -315,22 +328,22 @@
             last = download.items[-1]
             download.position = Position(last.version, last.kind, last.name)
             self._download = download
-            self._following_until = now + FOLLOW_TIMEOUT
+            self._peer_query_deadline = now + PEER_QUERY_TIMEOUT_S
             self._send_query(sender, message.after, download.position)
             return
-        self._following_until = now
+        self._peer_query_deadline = now
         self._context.count(codes.CONFIG_FROM_PEER)
-        self._apply(message.version, download.items)
-        self._peer_complete = True
+        self._apply_items(message.version, download.items)
+        self._synced_with_peer = True
 
     def _find_download(self, sender: str, after: int, position: Position) -> Download | None:
-        """Find the download that a page continues; None for a page of one that was given up."""
+        """Return the download that a page continues, or None if that download was abandoned."""
         if position <= Position(after + 1):
             return Download(sender, after, position)
-        known = self._download
-        if known is None or known.peer != sender or known.after != after:
+        download = self._download
+        if download is None or download.peer != sender or download.after != after:
             return None
-        return known if known.position == position else None
+        return download if download.position == position else None
 
 
 def _make_reply(after: int, version: int, items: list[Item]) -> ConfigReply:
--- a/rhubarbbend/core/accepted/_proposals.py
+++ b/rhubarbbend/core/accepted/_proposals.py
@@ -1,8 +1,8 @@
-"""The proposal duty: takes operators' changes to the table.
+"""Validates the configuration changes that operators propose and writes them to the change table.
 
 A change is accepted by one conditional insert of version n+1, together with a row for its change
-id, so that a retry finds the version it already has. Operators race on the insert of the version:
-one wins, the other is told who did.
+id, so that a retry finds the version that the change was accepted as. When two operators insert
+the same version, one insert succeeds; the other operator gets the author of the accepted change.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from rhubarbbend.core.messages import Message
 
 CHANGE_ID_TABLE: Final = "change_ids"
-OP_PREFIX: Final = "config:write:"
-REPEAT_INTERVAL: Final = 0.2
+WRITE_OP_PREFIX: Final = "config:write:"
+WRITE_RETRY_INTERVAL_S: Final = 0.2
 
 ERROR_INVALID: Final = "invalid_change"
 ERROR_CONFLICT: Final = "version_conflict"
@@ -29,8 +29,8 @@
 ERROR_BEHIND: Final = "behind"
 
 
-class AcceptedId(msgspec.Struct, frozen=True):
-    """The row of a change id: the version it was accepted as, and a digest of its items."""
+class AcceptedChangeId(msgspec.Struct, frozen=True):
+    """The row of a change id: the version that it was accepted as and a digest of its items."""
 
     version: int
     digest: str
@@ -38,15 +38,15 @@
 
 @attrs.define(slots=True)
 class Proposal:
-    """An operator's change on its way to the table."""
+    """A change of an operator whose write to the table is not answered yet."""
 
     op: str
     change: Change
-    since: float
+    started_at: float
 
 
 class ProposalDuty:
-    """Operators' changes under way. Invariant: each ends in exactly one answer."""
+    """Writes operators' changes. Invariant: each change gets exactly one answer."""
 
     def __init__(self, context: Context, follower: FollowerDuty) -> None:
         self._context = context
@@ -55,25 +55,26 @@
         self._next_op = 0
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle operators' changes and the table's answers."""
+        """Return handlers of operators' changes and of replies of the table."""
         return {
             events.ChangeProposed: self._handle_proposal,
             events.WriteDone: self._handle_write,
         }
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle no messages."""
+        """Return no handlers: no peer messages are needed."""
         return {}
 
     def _handle_proposal(self, event: events.ChangeProposed, now: float) -> None:
-        """Check a change against the version it is based on, and send it to the table.
+        """Validate a change against the version that it is based on, and write it to the table.
 
-        On a version that is already followed by another the insert cannot succeed: the change is
-        either a retry, whose version the table tells, or has lost a race.
+        The insert cannot succeed if the base version already has a successor. The change is then
+        either a retry, whose accepted version is in the table, or conflicts with another change.
         """
         configuration = self._context.configuration
         if event.base_version > configuration.version:
-            # Accepted here, it would leave a gap in the versions that nobody could follow.
+            # This instance is behind the operator. Inserting the change could leave a gap in the
+            # versions, and no instance could apply a change after a gap.
             self._answer(event.op, ERROR_BEHIND, configuration.version)
             return
         if event.base_version == configuration.version:
@@ -85,12 +86,12 @@
         self._write(Proposal(event.op, change, now))
 
     def _write(self, proposal: Proposal) -> None:
-        """Insert the next version and the change id; both or neither."""
+        """Insert the rows of the next version and of the change id in one atomic write."""
         self._next_op += 1
-        op = f"{OP_PREFIX}{self._next_op}"
+        op = f"{WRITE_OP_PREFIX}{self._next_op}"
         self._proposals[op] = proposal
         change = proposal.change
-        accepted = AcceptedId(change.version, _make_digest(change))
+        accepted = AcceptedChangeId(change.version, _compute_digest(change))
         writes = [
             actions.Write(
                 CHANGE_TABLE, make_change_key(change.version), msgspec.json.encode(change), 0
@@ -104,37 +105,44 @@
         if proposal is None:
             return
         if event.status != "done":
-            self._repeat(proposal, now)
+            self._retry(proposal, now)
             return
-        winner, accepted = event.rows
+        version_row, accepted = event.rows
         if all(event.applied):
             self._accept(proposal, proposal.change.version, now)
         elif accepted is not None:
-            self._settle_known(proposal, accepted, now)
+            self._answer_known_change_id(proposal, accepted, now)
         else:
             version = proposal.change.version
-            self._answer(proposal.op, ERROR_CONFLICT, version, _read_author(winner))
+            self._answer(proposal.op, ERROR_CONFLICT, version, _read_author(version_row))
             self._follower.scan(now)
 
-    def _settle_known(self, proposal: Proposal, row: events.Row, now: float) -> None:
-        """Answer a change id that the table knows: the answer to its write was lost."""
-        accepted = msgspec.json.decode(row.value, type=AcceptedId)
-        if accepted.digest == _make_digest(proposal.change):
+    def _answer_known_change_id(self, proposal: Proposal, row: events.Row, now: float) -> None:
+        """Answer a proposal whose change id is in the table already.
+
+        It is a retry after the reply to the first write was lost, or the id was used for another
+        change, which is an error.
+        """
+        accepted = msgspec.json.decode(row.value, type=AcceptedChangeId)
+        if accepted.digest == _compute_digest(proposal.change):
             self._accept(proposal, accepted.version, now)
             return
         problem = f"{ERROR_INVALID}: the change id was used for version {accepted.version}"
         self._answer(proposal.op, problem)
 
-    def _repeat(self, proposal: Proposal, now: float) -> None:
-        """Send the same write again: it is accepted once however often it arrives."""
-        if now - proposal.since >= self._context.options.config_write_timeout:
+    def _retry(self, proposal: Proposal, now: float) -> None:
+        """Repeat a write whose outcome is unknown, until the operator's timeout.
+
+        Repeating is safe: the conditional inserts take effect at most once.
+        """
+        if now - proposal.started_at >= self._context.options.config_write_timeout:
             self._answer(proposal.op, ERROR_UNKNOWN)
             return
-        self._context.set_timer(now + REPEAT_INTERVAL, lambda at: self._write(proposal))
+        self._context.set_timer(now + WRITE_RETRY_INTERVAL_S, lambda at: self._write(proposal))
 
     def _accept(self, proposal: Proposal, version: int, now: float) -> None:
         if version == proposal.change.version:
-            self._follower.take_change(proposal.change)
+            self._follower.apply_change(proposal.change)
             self._follower.push(proposal.change, now)
         self._context.log("change_accepted", version=str(version), author=proposal.change.author)
         self._answer(proposal.op, "", version)
@@ -144,7 +152,7 @@
         self._context.emit(actions.AnswerOperator(op, error, version, author))
 
 
-def _make_digest(change: Change) -> str:
+def _compute_digest(change: Change) -> str:
     return hashlib.blake2b(msgspec.json.encode(change.items), digest_size=16).hexdigest()
 
 
--- a/rhubarbbend/core/accepted/_snapshots.py
+++ b/rhubarbbend/core/accepted/_snapshots.py
@@ -1,4 +1,7 @@
-"""The snapshot duty: keeps a recent copy of the whole configuration in the object store."""
+"""Keeps a recent snapshot of the whole configuration in the object store.
+
+An instance that starts loads the snapshot and then reads only the changes after it.
+"""
 
 from __future__ import annotations
 
@@ -16,52 +19,57 @@
 SNAPSHOT_ROW: Final = "snapshot"
 SNAPSHOT_READ_OP: Final = "config:snapshot:read"
 SNAPSHOT_WRITE_OP: Final = "config:snapshot:write"
-# Instances that notice an old snapshot look again within this time, so that one writes it.
-SNAPSHOT_SPREAD: Final = 20.0
+# Each instance that finds the snapshot outdated checks the stored version after a random delay of
+# up to this time, so that usually only one instance writes a new snapshot.
+MAX_CHECK_DELAY_S: Final = 20.0
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The whole configuration at a version, for instances that start."""
+    """The whole configuration at a version, loaded by instances that start."""
 
     version: int
     items: list[Item]
 
 
 class SnapshotDuty:
-    """Stores a snapshot when none is recent. Invariant: at most one look or write is under way."""
+    """Stores a snapshot when none is recent.
+
+    Invariant: at most one check or write is in progress on this instance.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self._stored = 0
-        self._checking = False
-        self._writing = 0
+        self._stored_version = 0
+        self._check_in_progress = False
+        self._writing_version = 0
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle the row that tells the newest snapshot, and the object store's answer."""
+        """Return handlers of replies of the table and of the object store."""
         return {
             events.RowsRead: self._handle_row,
             events.SnapshotWritten: self._handle_written,
         }
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle no messages."""
+        """Return no handlers: no peer messages are needed."""
         return {}
 
-    def note_stored(self, version: int) -> None:
-        """Note a version whose snapshot is in the object store."""
-        self._stored = max(self._stored, version)
+    def record_stored(self, version: int) -> None:
+        """Record that the object store holds a snapshot of a version."""
+        self._stored_version = max(self._stored_version, version)
 
-    def check(self, now: float) -> None:
-        """Look, at a time drawn at random, whether another has stored a snapshot already.
+    def schedule_check(self, now: float) -> None:
+        """Schedule a check, after a random delay, of whether a new snapshot has to be written.
 
-        Whoever accepted the changes may be gone; without a recent snapshot each start would read
-        every change since the first.
+        Every instance does this, because the one that accepted the changes may have stopped.
+        Without a recent snapshot, each instance that starts would read every change since the
+        first. Nothing is scheduled if the newest known snapshot is recent enough.
         """
-        due = self._stored + self._context.options.snapshot_every
-        if self._checking or self._context.configuration.version < due:
+        due = self._stored_version + self._context.options.snapshot_every
+        if self._check_in_progress or self._context.configuration.version < due:
             return
-        self._checking = True
-        delay = self._context.random.uniform(0.0, SNAPSHOT_SPREAD)
+        self._check_in_progress = True
+        delay = self._context.random.uniform(0.0, MAX_CHECK_DELAY_S)
         self._context.set_timer(now + delay, self._read_row)
 
     def _read_row(self, now: float) -> None:
@@ -71,26 +79,26 @@
         if event.op != SNAPSHOT_READ_OP:
             return
         if event.status != "done":
-            self._checking = False
+            self._check_in_progress = False
             return
         if event.rows:
-            stored = event.rows[0].value
-            known = int(stored) if stored.isdigit() else 0
-            self._stored = max(self._stored, known)
+            value = event.rows[0].value
+            row_version = int(value) if value.isdigit() else 0
+            self._stored_version = max(self._stored_version, row_version)
         configuration = self._context.configuration
-        if configuration.version < self._stored + self._context.options.snapshot_every:
-            self._checking = False
+        if configuration.version < self._stored_version + self._context.options.snapshot_every:
+            self._check_in_progress = False
             return
-        self._writing = configuration.version
+        self._writing_version = configuration.version
         snapshot = Snapshot(configuration.version, configuration.list_after(0))
         self._context.emit(actions.WriteSnapshot(msgspec.msgpack.encode(snapshot)))
 
     def _handle_written(self, event: events.SnapshotWritten, now: float) -> None:
-        self._checking = False
+        self._check_in_progress = False
         if event.status != "done":
             return
-        self._stored = max(self._stored, self._writing)
+        self._stored_version = max(self._stored_version, self._writing_version)
         self._context.count(codes.CONFIG_SNAPSHOTS)
-        value = str(self._writing).encode("ascii")
+        value = str(self._writing_version).encode("ascii")
         write = actions.Write(STATE_TABLE, SNAPSHOT_ROW, value, -1)
         self._context.emit(actions.WriteRows(SNAPSHOT_WRITE_OP, [write]))
--- a/rhubarbbend/core/accepted/_validation.py
+++ b/rhubarbbend/core/accepted/_validation.py
@@ -1,4 +1,4 @@
-"""Checks a change set before it is accepted: what is accepted has to make sense everywhere.
+"""Validates a change set before it is accepted, because every instance applies accepted changes.
 
 The command line runs the same checks, so that an author sees every problem before anything is
 sent.
@@ -24,33 +24,36 @@
 )
 from rhubarbbend.core.routing import POLICIES
 
-NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]{0,99}")
-# Names of models are the callers' and often hold the name of their maker.
-MODEL_NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@/-]{0,199}")
-DIGEST: Final = re.compile(r"[0-9a-f]{64}")
+NAME_PATTERN: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@-]{0,99}")
+# Callers choose models by name, and the name often holds the vendor's name before a "/".
+MODEL_NAME_PATTERN: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:@/-]{0,199}")
+KEY_DIGEST_PATTERN: Final = re.compile(r"[0-9a-f]{64}")
 MAX_DECLARATION_BYTES: Final = 65_536
-Changes = Sequence[tuple[str, str, bytes]]
-Key = tuple[str, str]
+ChangeItems = Sequence[tuple[str, str, bytes]]
+DeclarationKey = tuple[str, str]
 
 
-def find_problems(configuration: Configuration, items: Changes) -> list[str]:
-    """List everything wrong with a change set on top of a configuration."""
+def find_problems(configuration: Configuration, items: ChangeItems) -> list[str]:
+    """Return a message for each problem of a change set applied to a configuration.
+
+    References between declarations are checked only if each declaration is valid by itself.
+    """
     if not items:
         return ["the change set is empty"]
-    declared: dict[Key, Declaration | None] = {}
+    declared: dict[DeclarationKey, Declaration | None] = {}
     problems: list[str] = []
     for kind, name, value in items:
         if (kind, name) in declared:
             problems.append(f"{kind} {name!r} is in the change set twice")
             continue
-        problems.extend(_read_item(kind, name, value, declared))
+        problems.extend(_check_item(kind, name, value, declared))
     if not problems:
         problems.extend(_find_broken_references(configuration, declared))
     return problems
 
 
-def _read_item(
-    kind: str, name: str, value: bytes, declared: dict[Key, Declaration | None]
+def _check_item(
+    kind: str, name: str, value: bytes, declared: dict[DeclarationKey, Declaration | None]
 ) -> list[str]:
     label = f"{kind} {name!r}"
     if kind not in KINDS:
@@ -59,29 +62,32 @@
         declared[(kind, name)] = None
         return []
     if len(value) > MAX_DECLARATION_BYTES:
-        return [f"{label}: expected at most {MAX_DECLARATION_BYTES} bytes"]
+        return [f"{label}: declaration too large; expected at most {MAX_DECLARATION_BYTES} bytes"]
     try:
-        read = decode_declaration(kind, value)
+        declaration = decode_declaration(kind, value)
     except msgspec.MsgspecError as error:
         return [f"{label}: {error}"]
-    if read.name != name:
-        return [f"{label} is named {read.name!r} inside"]
-    declared[(kind, name)] = read
-    found = [*find_unknown_fields(kind, msgspec.json.decode(value)), *check_declaration(read)]
+    if declaration.name != name:
+        return [f"{label} is named {declaration.name!r} inside"]
+    declared[(kind, name)] = declaration
+    found = [
+        *find_unknown_fields(kind, msgspec.json.decode(value)),
+        *check_declaration(declaration),
+    ]
     return [f"{label}: {problem}" for problem in found]
 
 
 def find_unknown_fields(kind: str, raw: Mapping[str, Any]) -> list[str]:
-    """List fields that the kind does not have; a misspelt one would be silently without effect."""
-    found = _name_unknown(raw, KINDS[kind])
+    """Return a message for each unknown field: a misspelt field would silently have no effect."""
+    found = _list_unknown_fields(raw, KINDS[kind])
     operations = raw.get("operations") if kind == "service" else None
     for entry in operations if isinstance(operations, list) else ():
         if isinstance(entry, dict):
-            found.extend(f"operations: {p}" for p in _name_unknown(entry, Operation))
+            found.extend(f"operations: {p}" for p in _list_unknown_fields(entry, Operation))
     return found
 
 
-def _name_unknown(raw: Mapping[str, Any], kind: type[msgspec.Struct]) -> list[str]:
+def _list_unknown_fields(raw: Mapping[str, Any], kind: type[msgspec.Struct]) -> list[str]:
     known = kind.__struct_fields__
     return [
         f"unknown field {field!r}; expected one of {', '.join(known)}"
@@ -91,9 +97,9 @@
 
 
 def check_declaration(declared: Declaration) -> list[str]:
-    """List what is wrong with one declaration taken alone."""
+    """Return a message for each problem of one declaration, without regard to others."""
     found: list[str] = []
-    pattern = MODEL_NAME if isinstance(declared, Model) else NAME
+    pattern = MODEL_NAME_PATTERN if isinstance(declared, Model) else NAME_PATTERN
     if not pattern.fullmatch(declared.name):
         found.append("name: expected letters, digits and . _ : @ -, a letter or digit first")
     if isinstance(declared, Account):
@@ -105,7 +111,7 @@
 
 def _check_account(account: Account) -> list[str]:
     found: list[str] = []
-    if not DIGEST.fullmatch(account.key_digest):
+    if not KEY_DIGEST_PATTERN.fullmatch(account.key_digest):
         found.append("key_digest: expected 64 lower-case hexadecimal digits")
     if account.weight < 1:
         found.append(f"weight: expected at least 1, got {account.weight}")
@@ -140,23 +146,23 @@
 
 
 def _find_broken_references(
-    configuration: Configuration, declared: Mapping[Key, Declaration | None]
+    configuration: Configuration, declared: Mapping[DeclarationKey, Declaration | None]
 ) -> list[str]:
-    """List references that would lead nowhere, and bearer keys that would be two accounts'."""
-    services = _merge(configuration.services, "service", declared)
-    models = _merge(configuration.models, "model", declared)
+    """Return a message for each reference to nothing declared and each duplicate bearer key."""
+    services = _merge_declared(configuration.services, "service", declared)
+    models = _merge_declared(configuration.models, "model", declared)
     found: list[str] = []
     for model in models.values():
         if model.service not in services:
             found.append(f"model {model.name!r}: no service {model.service!r} is declared")
         if model.adapter_of and model.adapter_of not in models:
             found.append(f"model {model.name!r}: no model {model.adapter_of!r} is declared")
-    found.extend(_find_shared_keys(configuration, declared))
+    found.extend(_find_duplicate_key_digests(configuration, declared))
     return found
 
 
-def _merge(
-    known: Mapping[str, Any], kind: str, declared: Mapping[Key, Declaration | None]
+def _merge_declared(
+    known: Mapping[str, Any], kind: str, declared: Mapping[DeclarationKey, Declaration | None]
 ) -> dict[str, Any]:
     merged = dict(known)
     for (declared_kind, name), value in declared.items():
@@ -169,28 +175,33 @@
     return merged
 
 
-def _find_shared_keys(
-    configuration: Configuration, declared: Mapping[Key, Declaration | None]
+def _find_duplicate_key_digests(
+    configuration: Configuration, declared: Mapping[DeclarationKey, Declaration | None]
 ) -> list[str]:
-    """Look only at the accounts of the change set: there may be tens of thousands of others."""
+    """Return a message for each account of the change set whose bearer key another account has.
+
+    Only accounts of the change set are visited: there may be tens of thousands of others.
+    """
     found: list[str] = []
-    fresh: dict[str, str] = {}
+    declared_names: dict[str, str] = {}
     for (kind, name), account in declared.items():
         if kind != "account" or not isinstance(account, Account):
             continue
-        known = configuration.accounts.get(account.key_digest)
-        taken = "" if known is None else known.name
-        if taken and _moves_away(taken, account.key_digest, declared):
-            taken = ""
-        other = fresh.setdefault(account.key_digest, name)
-        if taken not in ("", name) or other != name:
-            holder = taken if taken not in ("", name) else other
+        existing = configuration.accounts.get(account.key_digest)
+        existing_name = "" if existing is None else existing.name
+        if existing_name and _releases_key_digest(existing_name, account.key_digest, declared):
+            existing_name = ""
+        declared_name = declared_names.setdefault(account.key_digest, name)
+        if existing_name not in ("", name) or declared_name != name:
+            holder = existing_name if existing_name not in ("", name) else declared_name
             found.append(f"account {name!r}: its key_digest is that of account {holder!r}")
     return found
 
 
-def _moves_away(name: str, digest: str, declared: Mapping[Key, Declaration | None]) -> bool:
-    """Whether the change set removes an account or gives it another key."""
+def _releases_key_digest(
+    name: str, digest: str, declared: Mapping[DeclarationKey, Declaration | None]
+) -> bool:
+    """Return whether the change set removes an account or replaces its bearer key."""
     if ("account", name) not in declared:
         return False
     account = declared[("account", name)]
--- a/rhubarbbend/core/members/__init__.py
+++ b/rhubarbbend/core/members/__init__.py
@@ -1,5 +1,6 @@
-"""Which instances there are, what they tell one another of load, and whose turn it is to read.
+"""Membership of the fleet, exchange of load figures, and scheduling of shared platform polls.
 
-`_members` is the duty; the others are its parts. Nothing is imported here, because duties of
-different folders know one another's types.
+`_members` holds the component of the core (a `Duty`, see `rhubarbbend.core._context`); the other
+modules hold its parts. Nothing is imported here, because components of different folders import
+one another's types, and imports here would be circular.
 """
--- a/rhubarbbend/core/members/_load_sharing.py
+++ b/rhubarbbend/core/members/_load_sharing.py
@@ -1,4 +1,7 @@
-"""Loads that slot messages and heartbeats carry, so that the mean is as new as the traffic."""
+"""Exchange of target loads between instances in slot messages and heartbeats.
+
+Slot messages carry loads too, so that the mean load is as recent as the traffic.
+"""
 
 from __future__ import annotations
 
@@ -9,20 +12,22 @@
 from rhubarbbend.core.messages import ServiceSum, SlotMessage, SlotRelease, TargetLoad
 from rhubarbbend.core.owners._owner import OwnerDuty
 
-# In a larger zone each instance carries little of the load, so that stale figures average out.
-SMALL_ZONE: Final = 16
+# Slot messages carry loads of single targets only in a zone with at most this many other instances.
+# In a larger zone each instance has a small part of the load, so that the errors of stale figures
+# average out.
+MAX_PEERS_FOR_LOAD_FIGURES: Final = 16
 
 
-class LoadSharing:
-    """Adds the newest loads to slot messages, and takes over those of others."""
+class LoadExchange:
+    """Attaches the newest loads to slot messages and records the loads that peers send."""
 
     def __init__(self, context: Context, owner: OwnerDuty) -> None:
         self._context = context
         self._owner = owner
-        context.add_loads = self._add_loads
+        context.add_loads = self._attach_loads
 
-    def take_load(self, load: TargetLoad, now: float) -> None:
-        """Take over the load of a target that a heartbeat tells."""
+    def record_target_load(self, load: TargetLoad, now: float) -> None:
+        """Record the load of a target from its owner's heartbeat; ignore it for an owned target."""
         view = self._context.fleet.targets.get(load.target)
         if view is None or self._owner.owns(load.target):
             return
@@ -35,19 +40,19 @@
         view.updated = now
         self._context.fleet.note_target(view, self._context.configuration)
 
-    def _add_loads(self, view: InstanceView, message: SlotMessage) -> None:
-        """Let a slot message carry the newest loads of its service.
+    def _attach_loads(self, view: InstanceView, message: SlotMessage) -> None:
+        """Attach the newest loads of its service to a slot message.
 
-        Figures of heartbeats are some tenths of a second old, sums of zones some seconds. In a
-        small fleet that is the time in which half the requests end, and a mean made of them lets
-        a target carry half as much again as it may.
+        Loads from heartbeats are some tenths of a second old, sums of other zones some seconds.
+        In a small fleet half the requests end within that time, and a mean computed from such old
+        loads lets a target exceed its limit by half.
         """
         context = self._context
         target = context.fleet.targets.get(message.target)
         if target is None:
             return
         if isinstance(message, SlotRelease) and message.sent:
-            self._count_end(view, target)
+            self._record_release(view, target)
         if view.zone != context.identity.zone:
             sums = context.fleet.compute_sums(context.configuration).get(target.service_name)
             if sums is not None:
@@ -55,14 +60,14 @@
                     service_name=target.service_name, load=sums.load, targets=sums.targets
                 )
                 message.sums = [entry]
-        elif self._count_peers() <= SMALL_ZONE:
+        elif self._count_zone_peers() <= MAX_PEERS_FOR_LOAD_FIGURES:
             message.figures = self._owner.list_figures(target.service_name)
 
-    def _count_end(self, owner: InstanceView, target: TargetView) -> None:
-        """Count a slot as given back before its owner says so.
+    def _record_release(self, owner: InstanceView, target: TargetView) -> None:
+        """Subtract a slot that is being released before its owner reports the new load.
 
-        The next request of the same caller may be granted before the owner's word has come, and
-        the mean would count both.
+        The next request of the same caller may get a slot before that report arrives, and the
+        mean would count both requests.
         """
         fleet = self._context.fleet
         if owner.zone == self._context.identity.zone:
@@ -76,7 +81,7 @@
             entry.load -= 1
 
     def take_loads(self, sender: str, message: SlotMessage, now: float) -> None:
-        """Take over the loads that a slot message carries."""
+        """Record the loads that a slot message carries: of single targets or of a whole zone."""
         fleet = self._context.fleet
         for figure in message.figures:
             target = fleet.targets.get(figure.target)
@@ -92,7 +97,7 @@
             zone.heard_at = now
             zone.sums[entry.service_name] = LoadSum(entry.load, entry.targets)
 
-    def _count_peers(self) -> int:
+    def _count_zone_peers(self) -> int:
         identity = self._context.identity
         instances = self._context.fleet.instances.values()
         return sum(view.zone == identity.zone for view in instances) - 1
--- a/rhubarbbend/core/members/_member_list.py
+++ b/rhubarbbend/core/members/_member_list.py
@@ -1,7 +1,7 @@
-"""What the platform's list and peers' views tell of instances and targets.
+"""Records instances and targets from the platform's member list and from peers.
 
-The list lags: an entry that is missing from one read may be in the next, so what is gone is kept
-for a while.
+The list is eventually consistent: an entry that is missing from one read may be in the next. So an
+entry is removed only after it has been missing for the time `list_grace`.
 """
 
 from __future__ import annotations
@@ -21,33 +21,34 @@
 
 
 class MemberList:
-    """Enters listed instances and targets into the fleet's views and forgets those that left."""
+    """Adds listed instances and targets to the fleet's views and removes those that left."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._unlisted_since: dict[str, float] = {}
 
-    def take_list(self, entries: list[events.Listed], now: float) -> None:
-        """Take over the platform's list.
+    def handle_list(self, entries: list[events.Listed], now: float) -> None:
+        """Record all entries of a list read from the platform and expire missing members.
 
-        Entries that are gone are kept for a while: a list read from a lagging copy may lack an
-        instance that another copy still has, and forgetting it at once would move its targets.
+        Missing members are kept for a while: a list read from a lagging replica may lack an
+        instance that another replica has, and removing the instance at once would move its
+        targets to other owners.
         """
-        seen: set[str] = set()
+        listed_ids: set[str] = set()
         for entry in entries:
-            seen.add(entry.id)
-            self.learn(entry, now)
+            listed_ids.add(entry.id)
+            self.record_entry(entry, now)
         fleet = self._context.fleet
-        for known in [*fleet.instances, *fleet.targets]:
-            if known in seen:
-                self._unlisted_since.pop(known, None)
+        for member_id in [*fleet.instances, *fleet.targets]:
+            if member_id in listed_ids:
+                self._unlisted_since.pop(member_id, None)
             else:
-                self._note_unlisted(known, now)
+                self._expire_unlisted(member_id, now)
 
-    def learn(self, entry: events.Listed, now: float) -> None:
-        """Enter one entry of the list."""
+    def record_entry(self, entry: events.Listed, now: float) -> None:
+        """Record one entry of the platform's list."""
         if entry.kind == KIND_TARGET:
-            self.learn_target(entry)
+            self.record_target(entry)
         elif entry.kind == KIND_INSTANCE:
             member = Member(
                 id=entry.id,
@@ -57,10 +58,10 @@
                 peer_port=entry.peer_port,
                 state=entry.state,
             )
-            self.learn_instance(member, now)
+            self.record_instance(member, now)
 
-    def learn_target(self, entry: events.Listed) -> None:
-        """Enter a target."""
+    def record_target(self, entry: events.Listed) -> None:
+        """Add or update the view of a target; replace the view if its service changed."""
         fleet = self._context.fleet
         view = fleet.targets.get(entry.id)
         if view is not None and view.service_name != entry.service_name:
@@ -74,12 +75,13 @@
         view.listed_leaving = view.leaving = entry.state == STATE_LEAVING
         fleet.note_target(view, self._context.configuration)
 
-    def learn_instance(self, member: Member, now: float) -> None:
-        """Enter an instance."""
+    def record_instance(self, member: Member, now: float) -> None:
+        """Add or update the view of an instance."""
         fleet = self._context.fleet
         leaving = member.state == STATE_LEAVING
         if member.id == self._context.identity.instance:
-            # Told by the list first, it gives up its targets as its peers take them over.
+            # An instance that learns from the list that it is leaving gives up its targets, as its
+            # peers become their owners.
             own = fleet.instances.get(member.id)
             if own is not None:
                 own.listed_leaving = leaving
@@ -95,18 +97,19 @@
         view.listed_leaving = leaving
 
     def list_leaving_targets(self) -> list[str]:
-        """List what the last read list says leaves.
+        """Return the ids of the targets that are leaving according to the list as last read here.
 
-        A peer's word is not passed on: instances that read the list at different times would tell
-        one another for ever that a target leaves which has come back.
+        Targets that only a peer reported as leaving are left out. Otherwise instances that read
+        the list at different times would keep reporting to one another that a target is leaving
+        although it has come back.
         """
         return [view.id for view in self._context.fleet.targets.values() if view.listed_leaving]
 
-    def note_leaving_targets(self, targets: list[str]) -> None:
-        """Take a peer's word that targets leave.
+    def mark_targets_leaving(self, targets: list[str]) -> None:
+        """Mark targets as leaving that a peer reports as leaving.
 
-        The list may have gone away between the peer's last read and this instance's, which may
-        own the target and would grant its slots until the list is back.
+        The list may have become unavailable after the peer read it and before this instance did.
+        If this instance owns the target, it would grant slots of it until the list is back.
         """
         for target in targets:
             view = self._context.fleet.targets.get(target)
@@ -114,7 +117,7 @@
                 view.leaving = True
 
     def list_members(self) -> list[Member]:
-        """List every instance and target known, for a peer that asks."""
+        """Return every known instance and target, for the reply to a peer's query."""
         fleet = self._context.fleet
         members = [
             Member(
@@ -141,20 +144,20 @@
         )
         return members
 
-    def _note_unlisted(self, known: str, now: float) -> None:
-        since = self._unlisted_since.setdefault(known, now)
-        if now - since < self._context.options.list_grace:
+    def _expire_unlisted(self, member_id: str, now: float) -> None:
+        unlisted_since = self._unlisted_since.setdefault(member_id, now)
+        if now - unlisted_since < self._context.options.list_grace:
             return
         fleet = self._context.fleet
-        if known in fleet.targets:
-            fleet.remove_target(known)
-            self._unlisted_since.pop(known, None)
-            self._context.log("target_gone", target=known)
-        view = fleet.instances.get(known)
-        if view is None or known == self._context.identity.instance:
+        if member_id in fleet.targets:
+            fleet.remove_target(member_id)
+            self._unlisted_since.pop(member_id, None)
+            self._context.log("target_gone", target=member_id)
+        view = fleet.instances.get(member_id)
+        if view is None or member_id == self._context.identity.instance:
             return
         view.listed = False
         if now - view.last_heard > self._context.options.peer_silence:
-            del fleet.instances[known]
-            self._unlisted_since.pop(known, None)
-            self._context.log("peer_gone", peer=known)
+            del fleet.instances[member_id]
+            self._unlisted_since.pop(member_id, None)
+            self._context.log("peer_gone", peer=member_id)
--- a/rhubarbbend/core/members/_members.py
+++ b/rhubarbbend/core/members/_members.py
@@ -1,7 +1,8 @@
-"""The member duty: who else is there, told by the platform's list and by heartbeats.
+"""Tracks which instances and targets exist, from the platform's member list and from heartbeats.
 
-The list lags and can be away for hours; heartbeats reach the own zone only. Within a zone the
-heartbeat decides who is live, across zones the list does, corrected by messages that fail.
+The list lags and can be unavailable for hours; heartbeats stay within their zone. So heartbeats
+decide which instances of the same zone are live. For other zones the list decides, except that an
+instance to which messages fail is marked unreachable.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 from rhubarbbend.core._context import Context, EventHandler
 from rhubarbbend.core._fleet import KIND_INSTANCE, KIND_TARGET, InstanceView
 from rhubarbbend.core._suspects import SuspectDuty
-from rhubarbbend.core.members._load_sharing import LoadSharing
+from rhubarbbend.core.members._load_sharing import LoadExchange
 from rhubarbbend.core.members._member_list import MemberList
-from rhubarbbend.core.members._polls import SharedPoll
-from rhubarbbend.core.members._zone_links import ZoneLinks
+from rhubarbbend.core.members._polls import ZonePollScheduler
+from rhubarbbend.core.members._zone_links import ZoneExchange
 from rhubarbbend.core.messages import (
     Heartbeat,
     Member,
@@ -30,86 +31,102 @@
 )
 from rhubarbbend.core.owners._owner import OwnerDuty
 
-# Loads that have not been heard for this many intervals are forgotten.
-STALE_INTERVALS: Final = 4
-# How many instances are asked whom they know, each second until the first answer.
-START_PEERS: Final = 2
-# Loads go to a zone's peers this often, or later by so much for each peer: the cost of telling
-# everyone grows with the square of their number, the worth of one more telling does not.
-SHARE_INTERVAL: Final = 0.25
-SHARE_INTERVAL_PER_PEER: Final = 0.05
-# An instance that was lost is asked again after this, when its link is no longer held back.
-LOST_RETRY: Final = 0.6
+# Loads of targets and of other zones expire when no new figure has arrived for this many zone
+# intervals.
+MAX_LOAD_AGE_INTERVALS: Final = 4
+# Number of instances queried for the members that they know, once in each list interval until the
+# first reply.
+STARTUP_PEERS: Final = 2
+# Loads are broadcast to the zone's peers at the first interval, or at the second one times the
+# number of peers if that is longer: the cost of broadcasts grows with the square of the number of
+# instances, while the benefit of more frequent ones does not.
+LOAD_BROADCAST_INTERVAL_S: Final = 0.25
+LOAD_BROADCAST_INTERVAL_PER_PEER_S: Final = 0.05
+# An instance that became unreachable is queried again after this time, when the reconnect backoff
+# of its connection has ended.
+UNREACHABLE_PEER_RETRY_S: Final = 0.6
 
 
 class OwnerListener(Protocol):
-    """Told when targets may have a new owner."""
+    """Notified when targets may have a new owner."""
 
     def register_slots(self, now: float) -> None:
-        """Tell the present owners which slots are held."""
+        """Send the current owners the slots that this instance holds."""
         ...
 
-    def set_silence_listener(self, on_silent: Callable[[str, float], None]) -> None:
-        """Set what is told of an owner that gave no answer in time."""
+    def set_silence_listener(self, on_owner_timeout: Callable[[str, float], None]) -> None:
+        """Set the callback for an owner that did not reply in time; it gets the owner and time."""
         ...
 
 
 class VersionListener(Protocol):
-    """Told which version a peer has."""
+    """Notified of the configuration versions of peers."""
 
-    def follow(self, peer: str, version: int, now: float) -> None:
-        """Ask the peer for what it has beyond the version in force."""
+    def handle_peer_version(self, peer: str, version: int, now: float) -> None:
+        """Query the peer for changes if its version is newer than this instance's."""
         ...
 
 
 class MemberDuty:
-    """Keeps the fleet's views. Invariant: this instance is always in its own view."""
+    """Maintains the views of instances and targets.
+
+    Invariant: once started, this instance is always in its own view.
+    """
 
     def __init__(
-        self, context: Context, owner: OwnerDuty, entry: OwnerListener, suspects: SuspectDuty
+        self,
+        context: Context,
+        owner: OwnerDuty,
+        owner_listener: OwnerListener,
+        suspects: SuspectDuty,
     ) -> None:
         self._context = context
         self._owner = owner
-        self._entry = entry
-        self._members = MemberList(context)
-        self._zones = ZoneLinks(context, self._members, suspects, self._follow_version)
-        self.loads = LoadSharing(context, owner)
-        self._versions: VersionListener | None = None
+        self._owner_listener = owner_listener
+        self._member_list = MemberList(context)
+        self._zone_exchange = ZoneExchange(
+            context, self._member_list, suspects, self._notify_version
+        )
+        self.loads = LoadExchange(context, owner)
+        self._version_listener: VersionListener | None = None
         self._list_read = False
-        self._shared_at = -1.0
-        self._list_poll = SharedPoll(context, context.options.list_interval)
-        entry.set_silence_listener(self._pass_over)
+        self._loads_sent_at = -1.0
+        self._list_poll_scheduler = ZonePollScheduler(context, context.options.list_interval)
+        owner_listener.set_silence_listener(self._mark_unreachable)
 
     def set_version_listener(self, listener: VersionListener) -> None:
-        """Set the follower duty, which is told of the versions of peers."""
-        self._versions = listener
+        """Set the listener that is notified of the configuration versions of peers."""
+        self._version_listener = listener
 
     def list_events(self) -> dict[type[events.Event], EventHandler]:
-        """Handle the start, seeds, the platform's list, peers that fail and pauses."""
+        """Return handlers of the start, seeds, member lists, lost peers, pauses and queries."""
         return {
             events.Started: self._start,
             events.SeedNamed: self._handle_seed,
             events.ListRead: self._handle_list,
-            events.PeerLost: self._handle_lost,
+            events.PeerLost: self._handle_peer_lost,
             events.ProcessPaused: self._handle_pause,
-            events.VersionsAsked: self._zones.ask_versions,
+            events.VersionsAsked: self._zone_exchange.query_versions,
         }
 
     def list_messages(self) -> dict[type[Message], EventHandler]:
-        """Handle heartbeats, zone sums and questions about members."""
+        """Return handlers of heartbeats, zone queries and member queries, and their replies."""
         return {
             Heartbeat: self._handle_heartbeat,
-            ZoneQuery: self._zones.handle_query,
-            ZoneReply: self._zones.handle_reply,
+            ZoneQuery: self._zone_exchange.handle_query,
+            ZoneReply: self._zone_exchange.handle_reply,
             MembersQuery: self._handle_members_query,
             MembersReply: self._handle_members_reply,
         }
 
     def announce(self, now: float, loads: list[TargetLoad] | None = None) -> None:
-        """Send a heartbeat, with loads if given, to every other instance of the zone."""
+        """Send a heartbeat, with loads if given, to every other instance of the zone.
+
+        The last live instance of a zone that stops sends it to every instance of the fleet.
+        """
         context = self._context
         identity = context.identity
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             instance=identity.instance,
             zone=identity.zone,
             incarnation=identity.incarnation,
@@ -118,18 +135,19 @@
             loads=loads or [],
             host=identity.host,
             peer_port=identity.peer_port,
-            leaving_targets=self._members.list_leaving_targets(),
+            leaving_targets=self._member_list.list_leaving_targets(),
         )
-        # The last instance of a zone hands its targets over to another zone, which has to know.
-        last = context.stopping and not context.fleet.list_live(identity.zone)
-        for peer in self._list_others() if last else self._list_peers():
-            context.send(peer, beat)
+        # The last instance of a zone hands its targets over to another zone, so instances of other
+        # zones have to know that it is leaving.
+        is_last = context.stopping and not context.fleet.list_live(identity.zone)
+        for peer in self._list_other_instances() if is_last else self._list_zone_peers():
+            context.send(peer, heartbeat)
 
-    def _list_others(self) -> list[str]:
+    def _list_other_instances(self) -> list[str]:
         own = self._context.identity.instance
         return [peer for peer in self._context.fleet.instances if peer != own]
 
-    def _list_peers(self) -> list[str]:
+    def _list_zone_peers(self) -> list[str]:
         identity = self._context.identity
         return [
             view.id
@@ -137,26 +155,26 @@
             if view.zone == identity.zone and view.id != identity.instance
         ]
 
-    def _share_loads(self, now: float) -> None:
-        """Tell the zone the loads of the owned targets.
+    def _broadcast_loads(self, now: float) -> None:
+        """Broadcast the loads of the owned targets to the zone.
 
-        The mean that bounds a target is as old as the loads it is made of: an owner that hears
-        late that others have emptied would let its own targets carry too much.
+        The mean that limits the load of a target is as old as the loads that it is computed from.
+        An owner that learns late that other targets have become idle would overload its own.
         """
-        self._context.set_timer(now + SHARE_INTERVAL, self._share_loads)
-        interval = SHARE_INTERVAL_PER_PEER * len(self._list_peers())
-        if now - self._shared_at < interval - SHARE_INTERVAL / 2:
+        self._context.set_timer(now + LOAD_BROADCAST_INTERVAL_S, self._broadcast_loads)
+        interval = LOAD_BROADCAST_INTERVAL_PER_PEER_S * len(self._list_zone_peers())
+        if now - self._loads_sent_at < interval - LOAD_BROADCAST_INTERVAL_S / 2:
             return
-        self._shared_at = now
+        self._loads_sent_at = now
         loads = self._owner.list_loads()
         if loads:
             self.announce(now, loads)
 
-    def refresh(self, now: float) -> None:
-        """Recompute who is live and act on changes of ownership."""
+    def refresh_liveness(self, now: float) -> None:
+        """Recompute which instances are live; if that changed, update the owners of targets."""
         if self._context.fleet.refresh_live(now):
             self._owner.refresh_ownership(now)
-            self._entry.register_slots(now)
+            self._owner_listener.register_slots(now)
 
     def _start(self, event: events.Started, now: float) -> None:
         context = self._context
@@ -171,10 +189,10 @@
             listed=True,
             first_seen=now,
         )
-        context.repeat(context.options.list_interval, self._ask_list, now)
-        context.repeat(context.options.heartbeat_interval, self._beat, now)
-        self._share_loads(now)
-        context.repeat(context.options.zone_interval, self._zones.ask_all, now)
+        context.repeat(context.options.list_interval, self._poll_list, now)
+        context.repeat(context.options.heartbeat_interval, self._run_heartbeat, now)
+        self._broadcast_loads(now)
+        context.repeat(context.options.zone_interval, self._zone_exchange.query_zones, now)
 
     def _handle_seed(self, event: events.SeedNamed, now: float) -> None:
         member = Member(
@@ -184,29 +202,29 @@
             host=event.host,
             peer_port=event.peer_port,
         )
-        self._members.learn_instance(member, now)
+        self._member_list.record_instance(member, now)
 
-    def _ask_list(self, now: float) -> None:
+    def _poll_list(self, now: float) -> None:
         context = self._context
-        if self._list_poll.take_turn(now) or not self._list_read:
+        if self._list_poll_scheduler.acquire_turn(now) or not self._list_read:
             context.emit(actions.ReadList())
         if context.members_known:
             return
-        # The platform may be down: the peers named in the settings know the others.
+        # The platform may be unavailable; the seed peers named in the settings know the others.
         known = [peer for peer in context.fleet.instances if peer != context.identity.instance]
-        for peer in context.random.sample(known, min(len(known), START_PEERS)):
+        for peer in context.random.sample(known, min(len(known), STARTUP_PEERS)):
             context.send(peer, MembersQuery(instance=context.identity.instance))
 
-    def _beat(self, now: float) -> None:
+    def _run_heartbeat(self, now: float) -> None:
         context = self._context
-        self._note_silent(now)
-        oldest = now - STALE_INTERVALS * context.options.zone_interval
+        self._expire_silent_peers(now)
+        oldest = now - MAX_LOAD_AGE_INTERVALS * context.options.zone_interval
         context.fleet.drop_stale(context.configuration, oldest)
-        self.refresh(now)
+        self.refresh_liveness(now)
         self._owner.refresh_ownership(now)
         self.announce(now)
 
-    def _note_silent(self, now: float) -> None:
+    def _expire_silent_peers(self, now: float) -> None:
         silence = self._context.options.peer_silence
         for view in self._context.fleet.instances.values():
             if view.id == self._context.identity.instance or view.last_heard < 0:
@@ -219,13 +237,13 @@
                 self._owner.free_holder(view.id, view.incarnation + 1, now)
 
     def _handle_list(self, event: events.ListRead, now: float) -> None:
-        self._members.take_list(event.entries, now)
+        self._member_list.handle_list(event.entries, now)
         context = self._context
         context.members_known = True
         if not self._list_read:
             self._list_read = True
             self._context.log("list_read", entries=str(len(event.entries)))
-        self.refresh(now)
+        self.refresh_liveness(now)
         self._owner.refresh_ownership(now)
 
     def _handle_heartbeat(self, sender: str, message: Heartbeat, now: float) -> None:
@@ -247,55 +265,58 @@
         if restarted:
             self._owner.free_holder(view.id, view.incarnation, now)
         for load in message.loads:
-            self.loads.take_load(load, now)
-        self._members.note_leaving_targets(message.leaving_targets)
+            self.loads.record_target_load(load, now)
+        self._member_list.mark_targets_leaving(message.leaving_targets)
         if not was_live or view.leaving != was_leaving:
-            # Who is live is recomputed only if it may have changed: a zone sends many heartbeats.
-            self.refresh(now)
-        self._follow_version(message.instance, message.config_version, now)
+            # Recompute liveness only if it may have changed: a zone sends many heartbeats.
+            self.refresh_liveness(now)
+        self._notify_version(message.instance, message.config_version, now)
 
-    def _follow_version(self, peer: str, version: int, now: float) -> None:
-        if self._versions is not None:
-            self._versions.follow(peer, version, now)
+    def _notify_version(self, peer: str, version: int, now: float) -> None:
+        if self._version_listener is not None:
+            self._version_listener.handle_peer_version(peer, version, now)
 
-    def _handle_lost(self, event: events.PeerLost, now: float) -> None:
-        """Pass over the targets of an owner that cannot be reached.
+    def _handle_peer_lost(self, event: events.PeerLost, now: float) -> None:
+        """Mark an instance unreachable, so that its targets are skipped.
 
-        Whether it is gone is for its zone's instances to say by heartbeat; from here only failed
-        messages tell, and it may be the path that failed. So its targets are passed over at once,
-        but one of another zone is taken for gone, and its duties for another's, only after a
-        longer silence.
+        Instances of its own zone detect by heartbeats whether it has failed. An instance of
+        another zone sees only that messages fail, and the cause may be the network path. So the
+        targets are skipped at once, but an instance of another zone is regarded as failed, and
+        its targets get another owner, only after a longer silence.
         """
-        self._pass_over(event.peer, now)
+        self._mark_unreachable(event.peer, now)
 
-    def _pass_over(self, peer: str, now: float) -> None:
-        """Pass over the targets of an instance until it is heard of again."""
+    def _mark_unreachable(self, peer: str, now: float) -> None:
+        """Mark an instance unreachable until a message of it arrives; its targets are skipped."""
         view = self._context.fleet.instances.get(peer)
         if view is None:
             return
         if view.lost_since < 0:
             view.lost_since = now
             if view.zone != self._context.identity.zone:
-                self._context.set_timer(now + LOST_RETRY, lambda at: self._zones.ask(peer))
-        self.refresh(now)
+                self._context.set_timer(
+                    now + UNREACHABLE_PEER_RETRY_S,
+                    lambda at: self._zone_exchange.query_instance(peer),
+                )
+        self.refresh_liveness(now)
 
     def hear(self, sender: str) -> None:
-        """Take an instance for reachable: a message of it has come."""
+        """Mark an instance reachable, because a message of it has arrived."""
         view = self._context.fleet.instances.get(sender)
         if view is not None:
             view.lost_since = -1.0
 
     def _handle_pause(self, event: events.ProcessPaused, now: float) -> None:
-        """Do not take peers for silent because this process did not listen."""
+        """Restart the silence timeout of peers: a paused process receives no heartbeats."""
         for view in self._context.fleet.instances.values():
             if view.last_heard >= 0:
                 view.last_heard = now
 
     def _handle_members_query(self, sender: str, message: MembersQuery, now: float) -> None:
-        self._context.send(sender, MembersReply(members=self._members.list_members()))
+        self._context.send(sender, MembersReply(members=self._member_list.list_members()))
 
     def _handle_members_reply(self, sender: str, message: MembersReply, now: float) -> None:
-        """Take over a peer's view; only used while this instance has read no list itself."""
+        """Record a peer's members; ignored once this instance has read the list itself."""
         if self._list_read:
             return
         self._context.members_known = True
@@ -310,8 +331,8 @@
                     service_name=member.service_name,
                     state=member.state,
                 )
-                self._members.learn_target(entry)
+                self._member_list.record_target(entry)
             else:
-                self._members.learn_instance(member, now)
-        self.refresh(now)
+                self._member_list.record_instance(member, now)
+        self.refresh_liveness(now)
         self._owner.refresh_ownership(now)
--- a/rhubarbbend/core/members/_polls.py
+++ b/rhubarbbend/core/members/_polls.py
@@ -1,30 +1,38 @@
-"""Reads of the platform that the instances of a zone share between them."""
+"""Scheduling of platform polls that the instances of an availability zone share."""
 
 from __future__ import annotations
 
 from rhubarbbend.core._context import Context
 
 
-class SharedPoll:
-    """Says when it is this instance's turn to read what every instance of its zone follows.
+class ZonePollScheduler:
+    """Decides when this instance polls data that every instance of its zone needs.
 
-    If each of 80 instances read the list every second, the list alone would cost a node several
-    times what control may cost and the platform a fifth of its reads. What one has read, the
-    others learn from its heartbeat: who leaves and the configuration's version. An instance that
-    hears nobody counts itself alone and reads every time.
+    If each of 80 instances read the member list every second, the list alone would take several
+    times a node's budget for control traffic and a fifth of the reads that the platform can serve.
+    The other instances learn the results from heartbeats: the leaving targets and the version of
+    the configuration. An instance that receives no heartbeats regards itself as alone in its zone
+    and polls every time.
     """
 
     def __init__(self, context: Context, interval: float) -> None:
         self._context = context
         self._interval = interval
-        self._read_at = -1.0
+        self._turn_acquired_at = -1.0
 
-    def take_turn(self, now: float) -> bool:
-        """Whether to read now; noted as read if so."""
+    def acquire_turn(self, now: float) -> bool:
+        """Return whether to poll now, and if so record the time.
+
+        Call it once in each `interval`, given in seconds. With more live instances in the zone
+        than `zone_readers`, the turns of an instance are proportionally further apart.
+        """
         context = self._context
-        live = len(context.fleet.list_live(context.identity.zone))
-        spread = max(1.0, live / max(1, context.options.zone_readers))
-        if self._read_at >= 0 and now - self._read_at < (spread - 1.0) * self._interval:
+        live_count = len(context.fleet.list_live(context.identity.zone))
+        intervals_per_turn = max(1.0, live_count / max(1, context.options.zone_readers))
+        if (
+            self._turn_acquired_at >= 0
+            and now - self._turn_acquired_at < (intervals_per_turn - 1.0) * self._interval
+        ):
             return False
-        self._read_at = now
+        self._turn_acquired_at = now
         return True
--- a/rhubarbbend/core/members/_zone_links.py
+++ b/rhubarbbend/core/members/_zone_links.py
@@ -1,7 +1,7 @@
-"""What zones tell one another: sums of load, versions, crashes, who leaves.
+"""Exchange between zones of load sums, versions, crash counts and leaving instances and targets.
 
-Heartbeats do not cross zones, because their cost grows with the square of the instances; each
-instance asks one instance of every other zone instead.
+Heartbeats do not cross zones, because their cost grows with the square of the number of instances.
+Instead, each instance regularly queries one instance of every other zone.
 """
 
 from __future__ import annotations
@@ -15,47 +15,54 @@
 from rhubarbbend.core.members._member_list import MemberList
 from rhubarbbend.core.messages import ServiceSum, ZoneQuery, ZoneReply
 
-Follow = Callable[[str, int, float], None]
+VersionCallback = Callable[[str, int, float], None]
 
 
-class ZoneLinks:
-    """Asks other zones and answers them; `follow` is told of every version heard."""
+class ZoneExchange:
+    """Queries other zones and answers their queries.
+
+    `on_version` is called with the peer, its configuration version and the time, for each message.
+    """
 
     def __init__(
-        self, context: Context, members: MemberList, suspects: SuspectDuty, follow: Follow
+        self,
+        context: Context,
+        member_list: MemberList,
+        suspects: SuspectDuty,
+        on_version: VersionCallback,
     ) -> None:
         self._context = context
-        self._members = members
+        self._member_list = member_list
         self._suspects = suspects
-        self._follow = follow
+        self._on_version = on_version
 
-    def ask_all(self, now: float) -> None:
-        """Ask one instance of each other zone for its sums and its configuration version.
+    def query_zones(self, now: float) -> None:
+        """Query one live instance of each other zone for its load sums and configuration version.
 
-        One that could not be reached is asked beside a live one: only an answer shows that the
-        way to it is open again.
+        One instance that is marked unreachable is queried as well: only a reply shows that the
+        network path to it works again.
         """
         context = self._context
         query = self._make_query()
-        for zone, lost in self._list_lost().items():
+        for zone, unreachable in self._list_unreachable().items():
             live = context.fleet.list_live(zone)
-            reached = [peer for peer in live if peer not in lost]
-            for peers in (reached, lost):
+            reachable = [peer for peer in live if peer not in unreachable]
+            for peers in (reachable, unreachable):
                 if peers:
                     context.send(context.random.choice(peers), query)
 
-    def _list_lost(self) -> dict[str, list[str]]:
-        """List, for each other zone, the instances that could not be reached."""
-        lost: dict[str, list[str]] = {}
+    def _list_unreachable(self) -> dict[str, list[str]]:
+        """Return the listed instances marked unreachable, by zone, for each other zone."""
+        unreachable: dict[str, list[str]] = {}
         for view in self._context.fleet.instances.values():
             if view.zone != self._context.identity.zone:
-                unreached = lost.setdefault(view.zone, [])
+                zone_unreachable = unreachable.setdefault(view.zone, [])
                 if view.lost_since >= 0 and view.listed:
-                    unreached.append(view.id)
-        return lost
+                    zone_unreachable.append(view.id)
+        return unreachable
 
     def handle_query(self, sender: str, message: ZoneQuery, now: float) -> None:
-        """Answer an instance of another zone."""
+        """Answer the query of an instance of another zone and record what it reports."""
         context = self._context
         sums = [
             ServiceSum(service_name=name, load=entry.load, targets=entry.targets)
@@ -68,16 +75,16 @@
             sums=sums,
             crashes=self._suspects.list_crashes(now),
             leaving=context.stopping,
-            leaving_targets=self._members.list_leaving_targets(),
+            leaving_targets=self._member_list.list_leaving_targets(),
         )
         context.send(sender, reply)
         view = context.fleet.instances.get(sender)
         if view is not None:
             view.said_leaving = message.leaving
-        self._follow(sender, message.config_version, now)
+        self._on_version(sender, message.config_version, now)
 
     def handle_reply(self, sender: str, message: ZoneReply, now: float) -> None:
-        """Take over what another zone says of itself."""
+        """Record what another zone reports of itself."""
         sums = {entry.service_name: LoadSum(entry.load, entry.targets) for entry in message.sums}
         self._context.fleet.zone_sums[message.zone] = ZoneSums(now, sums)
         view = self._context.fleet.instances.get(sender)
@@ -86,20 +93,20 @@
             view.version_heard = now
             view.lost_since = -1.0
             view.said_leaving = message.leaving
-        self._members.note_leaving_targets(message.leaving_targets)
+        self._member_list.mark_targets_leaving(message.leaving_targets)
         self._suspects.merge(message.crashes, now)
-        self._follow(sender, message.config_version, now)
+        self._on_version(sender, message.config_version, now)
 
-    def ask_versions(self, event: events.VersionsAsked, now: float) -> None:
-        """Ask every instance for its version; heartbeats do not tell those of other zones."""
+    def query_versions(self, event: events.VersionsAsked, now: float) -> None:
+        """Query every instance for its version, as heartbeats come from this zone only."""
         context = self._context
         query = self._make_query()
         for view in context.fleet.instances.values():
             if view.id != context.identity.instance:
                 context.send(view.id, query)
 
-    def ask(self, peer: str) -> None:
-        """Ask one instance, to learn whether it can be reached again."""
+    def query_instance(self, peer: str) -> None:
+        """Query one instance to find out whether it is reachable again."""
         self._context.send(peer, self._make_query())
 
     def _make_query(self) -> ZoneQuery:
--- a/tests/core/accepted/test_follower.py
+++ b/tests/core/accepted/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower duty by events: starts, stale tables, pages, pushes and snapshots."""
+"""Replication of the accepted configuration: starts, stale tables, pages, pushes and snapshots."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 
 
-def serve_two(version: int = 2) -> tuple[Core, Core]:
-    """Make a core that is ready at a version and one that has just started beside it."""
+def make_ready_and_starting_core(version: int = 2) -> tuple[Core, Core]:
+    """Return a core that is ready at a version and one that has just started beside it."""
     ready = start_core("e1")
     starter = start_core("e2", now=0.0)
     introduce(ready, starter)
@@ -33,44 +33,44 @@
 
 
 def test_a_start_from_a_stale_table_waits_for_a_peer() -> None:
-    """Operators took zone a out (version 2); an instance restarts while the table serves old reads.
+    """An instance that restarts while the table returns stale reads must not trust them alone.
 
-    Its scan ends at version 1, in which the zone is in service. Trusting that, it would send the
-    zone work again. It asks a peer first, which has version 2.
+    Operators took zone a out of service in version 2, but the scan ends at version 1. Trusting
+    that, the instance would send work to the zone again. A peer has version 2.
     """
-    ready, starter = serve_two()
-    found = scan(starter, 0.1, make_row(1, make_zone("a", True)))
+    ready, starter = make_ready_and_starting_core()
+    emitted = scan(starter, 0.1, make_row(1, make_zone("a", True)))
     assert not starter.context.config_ready, "ready from a table that may be stale"
-    found = run_timers(starter, 1.5)
-    relay({"e1": ready, "e2": starter}, "e2", found, 1.5)
+    emitted = run_timers(starter, 1.5)
+    relay({"e1": ready, "e2": starter}, "e2", emitted, 1.5)
     assert starter.context.config_ready
     assert starter.context.configuration.version == 2
     assert not starter.context.configuration.is_zone_in_service("a")
 
 
-def test_a_start_without_any_peer_trusts_the_table_after_a_while() -> None:
-    _, starter = serve_two()
+def test_a_start_without_any_peer_trusts_the_table_after_a_timeout() -> None:
+    _, starter = make_ready_and_starting_core()
     scan(starter, 0.1, make_row(1, make_zone("a", True)))
-    found = run_timers(starter, 4.5)
+    emitted = run_timers(starter, 4.5)
     assert starter.context.config_ready
-    assert pick(found, actions.SetReady) == [actions.SetReady(True)]
+    assert pick(emitted, actions.SetReady) == [actions.SetReady(True)]
 
 
-def test_a_start_without_the_platform_takes_the_peers_word() -> None:
-    ready, starter = serve_two()
-    found = run_timers(starter, 1.5)
+def test_a_start_without_the_platform_uses_the_configuration_of_a_peer() -> None:
+    ready, starter = make_ready_and_starting_core()
+    emitted = run_timers(starter, 1.5)
     scan(starter, 1.5, status="failed")
     assert not starter.context.config_ready
-    relay({"e1": ready, "e2": starter}, "e2", found, 1.5)
+    relay({"e1": ready, "e2": starter}, "e2", emitted, 1.5)
     assert starter.context.config_ready
     assert starter.context.configuration.version == 2
 
 
 def test_a_start_is_not_ready_before_it_knows_any_target() -> None:
-    """A new instance has the configuration a moment before it has read the list of targets.
+    """A new instance may have the configuration before it has read the list of targets.
 
-    Ready then, it gets requests from the balancer and refuses them all, which the instance that
-    it replaces would have served.
+    If it became ready then, it would refuse all requests from the load balancer, although the
+    instance that it replaces would have served them.
     """
     core = make_core("e1")
     core.handle(events.Started(1_000.0), 0.0)
@@ -79,17 +79,17 @@
     assert core.context.configuration.version == 1
     assert not core.context.config_ready
     target = events.Listed("t1", "target", "a", "h", 80, service_name="booking")
-    found = core.handle(events.ListRead([target]), 4.1)
-    assert pick(found, actions.SetReady) == [actions.SetReady(True)]
+    emitted = core.handle(events.ListRead([target]), 4.1)
+    assert pick(emitted, actions.SetReady) == [actions.SetReady(True)]
 
 
 def test_a_start_without_the_list_learns_the_targets_from_a_seed() -> None:
-    """The platform is down when an instance starts; its settings name one instance.
+    """The platform is unavailable when an instance starts; its settings name one seed instance.
 
-    With the configuration alone it would know no target and refuse every request, or never get
-    ready at all.
+    With the configuration alone it would know no target and refuse every request, or never become
+    ready.
     """
-    ready, _ = serve_two()
+    ready, _ = make_ready_and_starting_core()
     target = events.Listed("t1", "target", "a", "h", 80, service_name="booking")
     ready.handle(events.ListRead([target]), 4.0)
     starter = make_core("e9")
@@ -98,33 +98,33 @@
     introduce(starter, ready, 4.0)
     introduce(ready, starter, 4.0)
     for now in (5.5, 7.0):
-        found = run_timers(starter, now)
-        relay({"e1": ready, "e9": starter}, "e9", found, now)
+        emitted = run_timers(starter, now)
+        relay({"e1": ready, "e9": starter}, "e9", emitted, now)
     run_timers(starter, 8.5)
     assert list(starter.context.fleet.targets) == ["t1"]
     assert starter.context.config_ready
 
 
-def test_old_rows_and_gaps_change_nothing() -> None:
-    ready, _ = serve_two()
+def test_old_rows_and_version_gaps_are_ignored() -> None:
+    ready, _ = make_ready_and_starting_core()
     scan(ready, 4.0, make_row(1, make_zone("a", True)), make_row(5, make_zone("a", True)))
     assert ready.context.configuration.version == 2
     assert not ready.context.configuration.is_zone_in_service("a")
 
 
-def test_unreadable_rows_do_not_spin() -> None:
-    """A full page of rows that cannot be applied must not be read again at once, for ever."""
-    ready, _ = serve_two()
+def test_unreadable_rows_are_not_scanned_again_at_once() -> None:
+    """A full page of rows that cannot be applied must not cause scans in an endless loop."""
+    ready, _ = make_ready_and_starting_core()
     rows = [events.Row(f"{n:016d}", b"?", 1) for n in range(3, 103)]
     run_timers(ready, 5.0)
     assert pick(scan(ready, 5.0, *rows), actions.ScanRows) == []
 
 
-def test_a_change_larger_than_a_page_arrives_whole() -> None:
-    """One change set of 1,200 accounts, and a later change of one of them.
+def test_a_change_larger_than_a_page_is_applied_in_one_step() -> None:
+    """A change set of 1,200 accounts is split into pages, and one account is changed later.
 
-    The pages split the change set. A reader that took a page as version 1 would call accounts of
-    the pages to come unknown and refuse their callers, and be ready with a part.
+    An instance that applied a single page as version 1 would become ready with a part of the
+    accounts and refuse the callers whose accounts are on later pages.
     """
     items = [
         ("account", f"n{i:04d}", msgspec.json.encode({"name": f"n{i:04d}", "key_digest": f"{i:x}"}))
@@ -157,20 +157,20 @@
 
 
 def test_a_lost_page_is_fetched_again() -> None:
-    """A page is lost with its connection: the download is begun anew, not left for ever."""
-    ready, starter = serve_two(2)
+    """A page that is lost with its connection must not block the download forever."""
+    ready, starter = make_ready_and_starting_core(2)
     scan(starter, 3.6, make_row(1, make_zone("a", True)))
-    beat = Heartbeat(instance="e1", zone="a", config_version=2, host="127.0.0.1", peer_port=2)
+    heartbeat = Heartbeat(instance="e1", zone="a", config_version=2, host="127.0.0.1", peer_port=2)
     run_timers(starter, 5.0)
 
     def count_queries(now: float) -> int:
-        found = pick(starter.handle(events.PeerSaid("e1", beat), now), actions.SendPeer)
-        return sum(isinstance(action.message, ConfigQuery) for action in found)
+        emitted = pick(starter.handle(events.PeerSaid("e1", heartbeat), now), actions.SendPeer)
+        return sum(isinstance(action.message, ConfigQuery) for action in emitted)
 
     assert count_queries(5.0) == 1
-    # Heartbeats of every other instance show the same version; one question is enough.
+    # Heartbeats of every other instance show the same version; one query is enough.
     assert count_queries(5.1) == 0
-    again = starter.handle(events.PeerSaid("e1", beat), 6.5)
+    again = starter.handle(events.PeerSaid("e1", heartbeat), 6.5)
     relay({"e1": ready, "e2": starter}, "e2", again, 6.5)
     assert starter.context.configuration.version == 2
 
@@ -178,100 +178,102 @@
 def propose(
     core: Core, now: float, *items: tuple[str, str, bytes], **fields: object
 ) -> list[actions.Action]:
-    """Propose a change on top of the version in force."""
+    """Propose a change based on the core's current version."""
     values: dict[str, object] = {"op": "o1", "change_id": "c1", "author": "ana"}
     values["base_version"] = core.context.configuration.version
     values |= fields
     return core.handle(events.ChangeProposed(items=list(items), **values), now)  # type: ignore[arg-type]
 
 
-def accept(core: Core, found: list[actions.Action], now: float) -> list[actions.Action]:
-    """Answer the write of a proposal as applied."""
-    write = pick(found, actions.WriteRows)[0]
+def confirm_write(core: Core, emitted: list[actions.Action], now: float) -> list[actions.Action]:
+    """Reply to the write of a proposal that it was applied."""
+    write = pick(emitted, actions.WriteRows)[0]
     rows: list[events.Row | None] = [events.Row(w.key, w.value, 1) for w in write.writes]
     return core.handle(events.WriteDone(write.op, "done", [True, True], rows), now)
 
 
 def test_an_accepted_change_reaches_the_others_without_the_platform() -> None:
-    """The platform goes down just after a zone was taken out; nobody else has read the change.
+    """The platform fails after a zone was taken out of service and before others read the change.
 
-    Instances of other zones would learn it by chance some seconds later and send the zone work
-    until then. The accepting instance sends it on at once.
+    Instances of other zones would learn of the change only from a random query some seconds later
+    and send work to the zone until then. The accepting instance pushes the change at once.
     """
-    ready, starter = serve_two()
+    ready, starter = make_ready_and_starting_core()
     other = start_core("e3", zone="b")
     introduce(ready, other)
     introduce(other, ready)
     for core in (starter, other):
         scan(core, 3.6, make_row(1, make_zone("a", True)), make_row(2, make_zone("a", False)))
-    found = accept(ready, propose(ready, 4.0, make_zone("b", False)), 4.1)
-    answers = pick(found, actions.AnswerOperator)
+    emitted = confirm_write(ready, propose(ready, 4.0, make_zone("b", False)), 4.1)
+    answers = pick(emitted, actions.AnswerOperator)
     assert [(a.error, a.version) for a in answers] == [("", 3)]
-    relay({"e1": ready, "e2": starter, "e3": other}, "e1", found, 4.1)
+    relay({"e1": ready, "e2": starter, "e3": other}, "e1", emitted, 4.1)
     assert [core.context.configuration.version for core in (starter, other)] == [3, 3]
     assert not other.context.configuration.is_zone_in_service("b")
 
 
 def test_a_large_change_is_announced_and_fetched() -> None:
-    ready, starter = serve_two()
+    ready, starter = make_ready_and_starting_core()
     scan(starter, 3.6, make_row(1, make_zone("a", True)), make_row(2, make_zone("a", False)))
     items = [make_zone(f"z{i}", True) for i in range(400)]
-    found = accept(ready, propose(ready, 5.5, *items), 5.6)
-    relay({"e1": ready, "e2": starter}, "e1", found, 5.6)
+    emitted = confirm_write(ready, propose(ready, 5.5, *items), 5.6)
+    relay({"e1": ready, "e2": starter}, "e1", emitted, 5.6)
     assert starter.context.configuration.version == 3
     assert len(starter.context.configuration.zones) == 401
 
 
-def test_the_loser_of_a_race_is_told_who_won() -> None:
-    ready, _ = serve_two()
+def test_a_version_conflict_names_the_author_of_the_accepted_change() -> None:
+    ready, _ = make_ready_and_starting_core()
     write = pick(propose(ready, 4.0, make_zone("b", False)), actions.WriteRows)[0]
-    winner = make_row(3, make_zone("b", True), author="berta")
-    found = ready.handle(events.WriteDone(write.op, "done", [False, False], [winner, None]), 4.1)
-    answers = pick(found, actions.AnswerOperator)
+    accepted_row = make_row(3, make_zone("b", True), author="berta")
+    emitted = ready.handle(
+        events.WriteDone(write.op, "done", [False, False], [accepted_row, None]), 4.1
+    )
+    answers = pick(emitted, actions.AnswerOperator)
     assert [(a.error, a.version, a.author) for a in answers] == [("version_conflict", 3, "berta")]
 
 
-def test_a_retry_gets_the_version_it_has() -> None:
-    """The write took effect and its answer was lost; the operator sends the change id again.
+def test_a_retried_change_gets_its_accepted_version() -> None:
+    """The write took effect but its reply was lost, and the operator sends the change id again.
 
-    Others have gone on meanwhile, so the change is not on top of the newest version any more.
+    Other changes were accepted meanwhile, so the change is no longer based on the newest version.
     """
-    ready, _ = serve_two()
+    ready, _ = make_ready_and_starting_core()
     write = pick(propose(ready, 4.0, make_zone("b", False)), actions.WriteRows)[0]
     stored = [events.Row(w.key, w.value, 1) for w in write.writes]
-    lost = ready.handle(events.WriteDone(write.op, "unknown"), 4.5)
-    assert pick(lost, actions.AnswerOperator) == []
+    unanswered = ready.handle(events.WriteDone(write.op, "unknown"), 4.5)
+    assert pick(unanswered, actions.AnswerOperator) == []
     again = pick(run_timers(ready, 5.0), actions.WriteRows)[0]
     rows: list[events.Row | None] = list(stored)
-    found = ready.handle(events.WriteDone(again.op, "done", [False, False], rows), 5.0)
-    assert [(a.error, a.version) for a in pick(found, actions.AnswerOperator)] == [("", 3)]
+    emitted = ready.handle(events.WriteDone(again.op, "done", [False, False], rows), 5.0)
+    assert [(a.error, a.version) for a in pick(emitted, actions.AnswerOperator)] == [("", 3)]
     scan(ready, 5.1, make_row(4, make_zone("c", True)))
     fields = {"op": "o2", "base_version": 2}
     write = pick(propose(ready, 6.0, make_zone("b", False), **fields), actions.WriteRows)[0]
-    found = ready.handle(events.WriteDone(write.op, "done", [False, False], rows), 6.0)
-    assert [(a.error, a.version) for a in pick(found, actions.AnswerOperator)] == [("", 3)]
-    # The same id with another content is no retry.
+    emitted = ready.handle(events.WriteDone(write.op, "done", [False, False], rows), 6.0)
+    assert [(a.error, a.version) for a in pick(emitted, actions.AnswerOperator)] == [("", 3)]
+    # The same id with different content is not a retry.
     fields["op"] = "o3"
     write = pick(propose(ready, 7.0, make_zone("b", True), **fields), actions.WriteRows)[0]
-    found = ready.handle(events.WriteDone(write.op, "done", [False, False], rows), 7.0)
-    error = pick(found, actions.AnswerOperator)[0].error
+    emitted = ready.handle(events.WriteDone(write.op, "done", [False, False], rows), 7.0)
+    error = pick(emitted, actions.AnswerOperator)[0].error
     assert error.startswith("invalid_change") and "version 3" in error
 
 
-def test_a_change_from_the_future_leaves_no_gap() -> None:
-    """An operator read the configuration at an instance that is ahead of this one.
+def test_a_change_based_on_an_unknown_version_is_not_written() -> None:
+    """An operator read the configuration from an instance that is ahead of this one.
 
-    Inserted as it is, version 10 would stand in the table with nothing before it: nobody could
-    follow it, and whoever comes to version 9 could change nothing any more.
+    If the change were inserted, version 10 would be in the table without its predecessors. No
+    instance could apply it, and at version 9 every further change would conflict with it.
     """
-    ready, _ = serve_two()
-    found = propose(ready, 4.0, make_zone("b", False), base_version=9)
-    assert pick(found, actions.WriteRows) == []
-    assert [a.error for a in pick(found, actions.AnswerOperator)] == ["behind"]
+    ready, _ = make_ready_and_starting_core()
+    emitted = propose(ready, 4.0, make_zone("b", False), base_version=9)
+    assert pick(emitted, actions.WriteRows) == []
+    assert [a.error for a in pick(emitted, actions.AnswerOperator)] == ["behind"]
 
 
-def test_one_instance_stores_the_snapshot_that_is_due() -> None:
-    """Whoever accepted the changes is gone; the others notice that no snapshot is recent."""
+def test_only_one_instance_stores_a_due_snapshot() -> None:
+    """The instance that accepted the changes has stopped; the others find no recent snapshot."""
     cores = [start_core(f"e{n}", snapshot_every=2) for n in (1, 2)]
     rows = [make_row(n, make_zone("a", n % 2 == 1)) for n in (1, 2, 3)]
     stored: list[bytes] = []
@@ -281,8 +283,8 @@
     for core in cores:
         for action in run_timers(core, 30.0):
             if isinstance(action, actions.ReadRow):
-                found = core.handle(events.RowsRead(action.op, "done", row), 30.0)
-                for write in pick(found, actions.WriteSnapshot):
+                emitted = core.handle(events.RowsRead(action.op, "done", row), 30.0)
+                for write in pick(emitted, actions.WriteSnapshot):
                     stored.append(write.data)
                     done = core.handle(events.SnapshotWritten("done"), 30.0)
                     value = pick(done, actions.WriteRows)[0].writes[0].value
@@ -297,10 +299,10 @@
 
 
 def test_a_configuration_larger_than_a_peer_frame_arrives_in_pages() -> None:
-    """A fleet's whole configuration is larger than a frame between instances may be.
+    """The whole configuration of a fleet may exceed the maximum size of a peer frame.
 
-    An instance that starts without the platform gets it from a peer. Sent as one frame, the peer
-    would close the connection as broken, each time, and the start would never end.
+    An instance that starts without the platform gets it from a peer. If it were sent as one frame,
+    the receiver would close the connection each time, and the start would never complete.
     """
     operations = [{"path": f"/{number:04d}/{'x' * 60}"} for number in range(300)]
     names = [f"service-{number:03d}" for number in range(400)]
@@ -321,8 +323,8 @@
     while waiting:
         action = waiting[0]
         sizes.append(len(FrameSeal(b"secret").close(encode_frame(sender, action.message))))
-        found = cores[action.peer].handle(events.PeerSaid(sender, action.message), 1.3)
-        waiting = pick(found, actions.SendPeer)
+        emitted = cores[action.peer].handle(events.PeerSaid(sender, action.message), 1.3)
+        waiting = pick(emitted, actions.SendPeer)
         sender = action.peer
     assert sum(sizes) > MAX_FRAME_BYTES
     assert max(sizes) < MAX_FRAME_BYTES // 50
--- a/tests/core/accepted/test_validation.py
+++ b/tests/core/accepted/test_validation.py
@@ -1,4 +1,4 @@
-"""What the core refuses to accept, whichever client sends it."""
+"""Validation of change sets by the core, independent of the client that sends them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         ([("service", "s", b'{"name": "s", "max_wait": -1}')], "max_wait: expected at least 0"),
     ],
 )
-def test_a_change_that_makes_no_sense_is_not_written(
+def test_an_invalid_change_is_not_written(
     items: list[tuple[str, str, bytes]], problem: str
 ) -> None:
     core = start_core("e1")
@@ -38,12 +38,12 @@
     model = ("model", "m", b'{"name": "m", "service": "s"}')
     account = ("account", "x", msgspec.json.encode({"name": "x", "key_digest": DIGEST}))
     scan(core, 3.5, make_row(1, service, model, account))
-    found = core.handle(events.ChangeProposed("o1", "c1", "ana", 1, items), 4.0)
-    assert pick(found, actions.WriteRows) == []
-    assert problem in pick(found, actions.AnswerOperator)[0].error
+    emitted = core.handle(events.ChangeProposed("o1", "c1", "ana", 1, items), 4.0)
+    assert pick(emitted, actions.WriteRows) == []
+    assert problem in pick(emitted, actions.AnswerOperator)[0].error
 
 
-def test_a_bearer_key_may_move_within_one_change() -> None:
+def test_one_change_may_move_a_bearer_key_to_another_account() -> None:
     core = start_core("e1")
     value = msgspec.json.encode({"name": "x", "key_digest": DIGEST})
     scan(core, 3.5, make_row(1, ("account", "x", value)))
