--- a/rhubarbbend/core/catalog/__init__.py
+++ b/rhubarbbend/core/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""The catalog: which request goes to which service, who may send it, and within which limits."""
+"""The catalog: the services that requests are routed to, who may send them, and their limits."""
 
 from rhubarbbend.core.catalog._catalog import Catalog
 from rhubarbbend.core.catalog._types import (
--- a/rhubarbbend/core/catalog/_catalog.py
+++ b/rhubarbbend/core/catalog/_catalog.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, indexed for the path of a request."""
+"""One version of the configuration, indexed for look-ups while a request is handled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Catalog:
-    """A configuration in force. Invariant: never changed; a new version is a new object."""
+    """One version of the configuration. Immutable: a new version is a new object."""
 
     __slots__ = (
         "version",
@@ -31,7 +31,7 @@
         self.version = version
         self.services = {service.name: service for service in services}
         self.limits = limits
-        # Without any client accounts every caller is admitted.
+        # A configuration without a list of client accounts admits every caller.
         self.needs_key = accounts is not None
         self.route_count = 0
         self._routes: dict[str, dict[str, Route]] = {}
@@ -41,10 +41,10 @@
         self._accounts = {key: account for account in accounts or () for key in account.keys if key}
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Find the route of a host with the longest prefix that begins the path.
+        """Return the host's route with the longest prefix that the path starts with.
 
-        Every prefix ends with a slash, so only the path's own beginnings up to a slash can match;
-        their number is small whatever the number of routes.
+        Return None if there is none. Every prefix ends with a slash, so only the parts of the path
+        up to one of its slashes are looked up; their number does not depend on that of the routes.
         """
         routes = self._routes.get(host.partition(":")[0].lower())
         if routes is None:
@@ -58,5 +58,5 @@
         return None
 
     def find_account(self, key: str) -> ClientAccount | None:
-        """Find the client account that holds a key."""
+        """Return the client account that a key belongs to, None if there is none."""
         return self._accounts.get(key)
--- a/rhubarbbend/core/catalog/_types.py
+++ b/rhubarbbend/core/catalog/_types.py
@@ -1,6 +1,6 @@
-"""What a configuration declares: routes, services, client accounts and limits of callers.
+"""Types of the configuration: routes, services, client accounts and limits of callers.
 
-All times are seconds.
+All times are in seconds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """The kind of a route's requests, which decides whether they may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,19 +19,19 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """The part of a route's requests that one service gets; weights are relative."""
+    """The share of a route's requests that one service gets; weights are relative."""
 
     service: str
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests go whose host is `host` and whose path begins with `prefix`.
+    """Where requests are sent whose host is `host` and whose path starts with `prefix`.
 
-    `timeout` is the longest time that a caller is kept waiting, `objective` the time to an answer
-    (of a stream: to its first event) that counts as good, `pause_objective` the longest good
-    pause between events. `priority` 0 goes first. `max_attempts` is the number of targets that
-    one request may be sent to.
+    `timeout` is the longest time that a caller is kept waiting, `objective` the latency objective
+    of an answer (of a stream: of its first event), `pause_objective` that of a pause between
+    events. `priority` 0 is the highest. `max_attempts` is the maximum number of targets that one
+    request may be sent to.
     """
 
     name: str
@@ -48,26 +48,33 @@
     pause_objective: float = 0.0
 
     def choose_service(self, point: float) -> str:
-        """Choose a service by weight for a point from 0 to 1; empty if none has any weight."""
-        rest = point * sum(share.weight for share in self.shares)
+        """Return the service at a point from 0 to 1 of the shares laid end to end by weight.
+
+        Return an empty string if no service has a positive weight.
+        """
+        remaining = point * sum(share.weight for share in self.shares)
         chosen = ""
         for share in self.shares:
             if share.weight <= 0:
                 continue
             chosen = share.service
-            rest -= share.weight
-            if rest < 0:
+            remaining -= share.weight
+            if remaining < 0:
                 break
         return chosen
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request that may have run can be sent once more."""
+        """Whether a request that may have run can be sent again."""
         return self.kind is RequestKind.SAFE or (self.kind is RequestKind.STREAM and self.resumable)
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """The model engines of a service: requests in a batch, tokens in memory, bytes a token."""
+    """The capacity of each model engine of a service.
+
+    `slots` is the number of requests in a batch, `memory_tokens` the number of tokens that fit into
+    memory, `token_bytes` the size of a token there.
+    """
 
     slots: int
     memory_tokens: int
@@ -75,7 +82,11 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service. A target of it that is cold bears `cold_rate` requests a second; 0: no limit."""
+    """A service, provided by its targets.
+
+    A cold start of a target takes `cold_seconds`. A cold target can bear `cold_rate` requests a
+    second; 0 means no limit.
+    """
 
     name: str
     max_connections: int
@@ -85,7 +96,7 @@
 
 
 class ClientAccount(msgspec.Struct, frozen=True):
-    """Who sends requests, known by keys; a priority of its own goes before the route's."""
+    """A client account, identified by its keys; its priority, if set, overrides the route's."""
 
     name: str
     keys: tuple[str, ...]
@@ -93,7 +104,7 @@
 
 
 class TrafficLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send, and on the time it may take or idle."""
+    """Limits on the size of a caller's requests and on the time to send them or stay idle."""
 
     max_header_bytes: int
     max_body_bytes: int
--- a/rhubarbbend/core/limits/_base.py
+++ b/rhubarbbend/core/limits/_base.py
@@ -1,4 +1,4 @@
-"""The interface of a limit of client accounts."""
+"""The interface of limits of client accounts."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 class AccountLimit(abc.ABC):
     """Counts the open requests of accounts at this instance.
 
-    Hooks: `open` is called once for each request of an account before anything is done for it,
-    `close` once when that request has its final answer, refused or not.
+    `open` is called once for each request of an account, before any other work is done for it, and
+    `close` once when that request has its final answer, even if it was refused.
     """
 
     @abc.abstractmethod
     def open(self, account: Account, now: float) -> bool:
-        """Count a request; False if the account is over its limit with it."""
+        """Count a request and return False if it puts the account over its limit.
+
+        The request is counted in either case.
+        """
 
     @abc.abstractmethod
     def close(self, account: Account) -> None:
-        """Count the end of a request."""
+        """Stop counting a request that has ended."""
 
 
 LIMITS: Final[Registry[AccountLimit]] = Registry("account limit")
--- a/rhubarbbend/core/limits/_in_flight.py
+++ b/rhubarbbend/core/limits/_in_flight.py
@@ -1,4 +1,4 @@
-"""How many requests an account may have open at this instance at once."""
+"""Limits the number of requests that an account may have in flight at this instance."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 
 @LIMITS.register("in_flight")
 class InFlightLimit(AccountLimit):
-    """At most `max_in_flight` of the account's declaration. Invariant: no count of zero is kept."""
+    """Limits an account to the `max_in_flight` requests that its declaration allows.
+
+    Invariant: no counts of zero are kept.
+    """
 
     def __init__(self) -> None:
-        self._open: Counter[str] = Counter()
+        self._in_flight: Counter[str] = Counter()
 
     def open(self, account: Account, now: float) -> bool:
-        """Count a request; False if the account is over its limit with it."""
-        self._open[account.name] += 1
-        return self._open[account.name] <= account.max_in_flight
+        """Count a request and return False if it puts the account over its limit."""
+        self._in_flight[account.name] += 1
+        return self._in_flight[account.name] <= account.max_in_flight
 
     def close(self, account: Account) -> None:
-        """Count the end of a request."""
-        self._open[account.name] -= 1
-        if self._open[account.name] <= 0:
-            del self._open[account.name]
+        """Stop counting a request that has ended."""
+        self._in_flight[account.name] -= 1
+        if self._in_flight[account.name] <= 0:
+            del self._in_flight[account.name]
--- a/rhubarbbend/core/mirror/__init__.py
+++ b/rhubarbbend/core/mirror/__init__.py
@@ -1,4 +1,4 @@
-"""The mirror: what this instance knows of the store's tables, from the store or from peers."""
+"""The mirror: this instance's copy of the store's tables, read from the store or from peers."""
 
 from rhubarbbend.core.mirror._tables import Change, Mirror, MirroredRow, Table, TablePage
 
--- a/rhubarbbend/core/readers/__init__.py
+++ b/rhubarbbend/core/readers/__init__.py
@@ -1,10 +1,11 @@
-"""Readers: which instances read the platform's store for others, and what they pass on.
+"""Readers: the instances that read the platform's store for others, and the updates they relay.
 
-A change of the store's tables wakes every call that waits for it. With each instance waiting by
-itself, one change costs as many calls as there are instances; so in a zone of many, or in several
-of few, some read the store and the others wait at one of those. Nothing is granted and nobody is
-elected: each instance works out the readers from the list of instances, and reads the store itself
-as soon as what it is told is too old. A wrong guess costs calls, never a change.
+A change of the store's tables completes every call that waits for one. If each instance waited at
+the store itself, one change would cost as many calls as there are instances. So in a large zone, or
+in a group of small ones, some instances read the store and the others wait at one of those. There
+are no grants or elections: each instance computes the readers from the list of instances, and reads
+the store itself as soon as the data from its reader is too old. Computing the wrong readers costs
+calls but never loses a change.
 """
 
 from rhubarbbend.core.readers._leases import RENEW_INTERVAL, InstanceLeases
--- a/rhubarbbend/core/readers/_leases.py
+++ b/rhubarbbend/core/readers/_leases.py
@@ -1,9 +1,9 @@
-"""Decides which rows in the list of instances belong to instances that are gone for good.
+"""Decides which rows of the instance list belong to instances that are permanently gone.
 
-One that stops as planned takes its row off the list. One that is lost leaves it behind; kept for
-ever, such rows would make everybody's part of the bounds smaller from failure to failure, and
-readers would be looked for among the lost. So each instance writes its row anew now and then, and
-a row that stays as it is for long has lapsed, as a lease does.
+An instance that stops in an orderly way deletes its row; one that crashes leaves it behind. If such
+rows were kept, every instance's share of the fleet's limits would shrink with each failure, and
+instances would try to use readers that no longer exist. So each instance rewrites its row at
+intervals, and a row that stays unchanged for too long expires, like a lease.
 """
 
 from __future__ import annotations
@@ -16,47 +16,48 @@
 
 from rhubarbbend.core.mirror import MirroredRow
 
-# Seconds between two writes of an instance's row. At 400 instances 1.3 writes a second, of the
-# several hundred that a platform gives.
+# Seconds between two writes of an instance's row. 400 instances make 1.3 writes a second, out of
+# the several hundred that a platform allows.
 RENEW_INTERVAL: Final = 300.0
-# A row that has not been written for so many seconds has lapsed: four writes in a row were missed.
-# A lost instance's part of the bounds is unused for that long, which one of hundreds is worth.
+# Seconds after which a row that was not rewritten has expired: four successive writes were missed.
+# A crashed instance's share of the limits stays unused that long, which is acceptable for one
+# instance of hundreds.
 ROW_LIFE: Final = 1_200.0
-# With a longer pause between two readings of the list time is counted anew: the store was away, for
-# this instance or for all, so those that live could not write, or it was not seen that they did.
-MAX_GAP: Final = 60.0
+# After a longer gap between two reads of the list, the age of every row restarts at zero: the store
+# was unreachable, so live instances could not write or this instance could not see their writes.
+MAX_READ_GAP_S: Final = 60.0
 
 
-class _Sight(msgspec.Struct, frozen=True):
-    """A row's version, and since when it has been that."""
+class _RowAge(msgspec.Struct, frozen=True):
+    """A row's version, and the time at which this instance first read it."""
 
     version: int
     since: float
 
 
 class InstanceLeases:
-    """Watches the list as this instance reads it. Invariant: only time in which it read counts.
+    """Tracks how long each row has been unchanged. Invariant: periods without reads do not count.
 
-    Time is this instance's own, so clocks that differ or jump do no harm. A wrong judgement does
-    none either: the row is dropped only if it still has the version that was judged, and an
-    instance that finds itself off the list writes its row again.
+    Times come from this instance's own clock, so clocks that differ or jump do no harm. Expiring a
+    live instance's row does none either: the row is deleted only if it still has the version that
+    expired, and an instance that finds its row missing writes it again.
     """
 
     def __init__(self) -> None:
-        self._sights: dict[str, _Sight] = {}
+        self._ages: dict[str, _RowAge] = {}
         self._read_at = -math.inf
 
     def observe(self, rows: Iterable[MirroredRow], now: float) -> list[MirroredRow]:
-        """Take in the list as just read; give the rows that have lapsed."""
-        known = self._sights if now - self._read_at <= MAX_GAP else {}
+        """Record the list as just read, and return the rows that have expired."""
+        previous = self._ages if now - self._read_at <= MAX_READ_GAP_S else {}
         self._read_at = now
-        self._sights = {}
-        lapsed: list[MirroredRow] = []
+        self._ages = {}
+        expired: list[MirroredRow] = []
         for row in rows:
-            sight = known.get(row.key)
-            if sight is None or sight.version != row.version:
-                sight = _Sight(row.version, now)
-            self._sights[row.key] = sight
-            if now - sight.since >= ROW_LIFE:
-                lapsed.append(row)
-        return lapsed
+            age = previous.get(row.key)
+            if age is None or age.version != row.version:
+                age = _RowAge(row.version, now)
+            self._ages[row.key] = age
+            if now - age.since >= ROW_LIFE:
+                expired.append(row)
+        return expired
--- a/rhubarbbend/core/readers/_news.py
+++ b/rhubarbbend/core/readers/_news.py
@@ -1,4 +1,4 @@
-"""What instances tell one another beside the store's tables, passed on by readers."""
+"""A log of updates between instances that are not stored in tables; readers relay them."""
 
 from __future__ import annotations
 
@@ -8,36 +8,41 @@
 import msgspec
 
 T = TypeVar("T")
-# Items that a reader keeps for those that wait at it. At the busiest, chats that move with a zone,
-# some hundred come in a second, and a listener asks again within one.
-MAX_KEPT: Final = 1_000
+# Items that a reader keeps for the instances that wait at it. At the peak, when a zone's chats move
+# elsewhere, some hundred items arrive a second, and a listener asks again within one second.
+MAX_ITEMS: Final = 1_000
 
 
 class NewsPage(msgspec.Struct, Generic[T], array_like=True):
-    """Items after a reader's position, and the position after them."""
+    """Items after a listener's position, and the position after the last of them."""
 
     items: list[T]
     position: int
 
 
 class NewsLog(Generic[T]):
-    """The newest items, by number. Invariant: the last item has the number `position`.
+    """A bounded log of numbered items. Invariant: the last item has the number `position`.
 
-    Items are hints: one that is lost costs a prompt that is read again. So a listener that comes
-    from another log, or is too far behind, gets what is kept or nothing, and no item is confirmed.
+    Items are hints: a lost one only means that a prompt is read again. So no item is acknowledged,
+    a listener that is too far behind gets only the items still kept, and one whose position is of
+    another instance's log may get none.
     """
 
     def __init__(self) -> None:
         self.position = 0
-        self._items: deque[T] = deque(maxlen=MAX_KEPT)
+        self._items: deque[T] = deque(maxlen=MAX_ITEMS)
 
     def add(self, item: T) -> None:
-        """Add an item."""
+        """Append an item."""
         self._items.append(item)
         self.position += 1
 
     def list_after(self, position: int | None) -> NewsPage[T]:
-        """Give what came after a position; nothing for a listener that has none yet."""
+        """Return the items after a position.
+
+        The page is empty for a listener without a position yet, and for one whose position lies
+        beyond this log.
+        """
         if position is None or position > self.position:
             return NewsPage([], self.position)
         count = min(self.position - position, len(self._items))
--- a/rhubarbbend/core/readers/_plan.py
+++ b/rhubarbbend/core/readers/_plan.py
@@ -1,4 +1,4 @@
-"""Decides whom an instance waits at for changes of the store's tables."""
+"""Selects the reader at which an instance waits for changes of the store's tables."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 
 from rhubarbbend.core._rendezvous import rank_names
 
-# A zone with fewer instances has no readers of its own: below five the calls saved are not worth
-# waiting.
-LEAST_ZONE: Final = 5
-# Such zones together have readers from so many instances on. Below that their few calls cost less
-# than what is known a moment later: loads are told by way of the readers.
-LEAST_GROUP: Final = 12
-# Readers of zones that read together: one zone that is lost must not take all of them.
-LEAST_SHARED: Final = 2
-# Instances that wait at one reader. Each asks 2.5 times a second, and an ask takes 0.7 ms of
+# A zone with fewer instances has no readers of its own: below five, the calls saved are not worth
+# the additional delay.
+MIN_ZONE_INSTANCES: Final = 5
+# Small zones together have readers if they have at least this many instances. Below that, their few
+# calls cost less than the delay, because loads are relayed through the readers as well.
+MIN_GROUP_INSTANCES: Final = 12
+# Minimum number of readers of a group of small zones, so that the loss of one zone does not take
+# all of them.
+MIN_GROUP_READERS: Final = 2
+# Instances that wait at one reader. Each sends 2.5 queries a second, and a query takes 0.7 ms of
 # processor time at both ends together (measured over loopback): 3% of half a core at the reader.
-READER_PART: Final = 16
-# What a reader should have, in Mbit/s and cores: 64 KB of configuration are compressed to 11 KB and
-# goes out to 16 instances within 40 ms. Weaker ones read only if there are no others.
-NEEDED_LINK: Final = 40.0
-NEEDED_CORES: Final = 1.0
-# An instance that listens on every address of its machine may send from any.
+INSTANCES_PER_READER: Final = 16
+# The bandwidth in Mbit/s and the cores that a reader should have: 64 KB of configuration,
+# compressed to 11 KB, are then sent to 16 instances within 40 ms. Weaker instances become readers
+# only if no others are available.
+READER_LINK_MBPS: Final = 40.0
+READER_CORES: Final = 1.0
+# An instance that listens on all addresses of its machine may send from any of them.
 ANY_HOST: Final = ("0.0.0.0", "::")
-# A reader that gave no answer is left alone for so long in seconds, doubled each time: long enough
-# to be seldom asked in vain, short against the seconds for which an instance is stopped.
-FIRST_REST: Final = 2.0
-LONGEST_REST: Final = 16.0
+# Backoff after a reader did not answer, doubled each time. It is long enough that few queries are
+# sent in vain, and short against the seconds for which an instance is stopped.
+MIN_BACKOFF_S: Final = 2.0
+MAX_BACKOFF_S: Final = 16.0
 
 
 class InstanceRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What an instance tells of itself in the store: where it is reached and what it can bear.
+    """An instance's row in the store: the address at which it is reached, and its capacity.
 
-    `link` is in Mbit/s, `cores` in processor seconds a second; 0 if not told. `sends_from` is its
-    own address where the one at which it is reached belongs to something in between.
+    `link` is in Mbit/s, `cores` in processor seconds a second; 0 if unknown. `sends_from` is the
+    instance's own address if the one at which it is reached is an intermediary's.
     """
 
     zone: str
@@ -48,102 +50,105 @@
     sends_from: tuple[str, int] | None = None
 
     @property
-    def strength(self) -> float:
-        """What the instance has of what a reader should have, from 0 to 1."""
-        return min(1.0, self.link / NEEDED_LINK, self.cores / NEEDED_CORES)
+    def reader_fitness(self) -> float:
+        """The fraction, from 0 to 1, of the capacity that a reader should have."""
+        return min(1.0, self.link / READER_LINK_MBPS, self.cores / READER_CORES)
 
     def may_send_from(self, host: str, port: int) -> bool:
-        """Whether a datagram from an address can be this instance's."""
+        """Return whether a datagram from an address can come from this instance."""
         own_host, own_port = self.sends_from or (self.host, self.port)
         return port == own_port and own_host in (host, *ANY_HOST)
 
 
-class _Rest(msgspec.Struct):
-    """A reader that gave no answer is not asked before `until`."""
+class _Backoff(msgspec.Struct):
+    """The backoff of a reader that did not answer: it is not queried before `until`."""
 
-    length: float
+    seconds: float
     until: float
 
 
 class ReaderGroup(msgspec.Struct, frozen=True):
-    """Zones that read the store together: one large zone, or all small ones.
+    """Zones that share readers: one large zone, or all small zones together.
 
-    `order`: its instances, in the order in which they are to read; `readers`: how many do, 0 if
-    each reads for itself.
+    `order` lists their instances by preference as readers. `readers` is the number of readers, 0 if
+    each instance reads the store for itself.
     """
 
     zones: frozenset[str]
     order: tuple[str, ...]
     readers: int
 
-    def list_readers(self, without: Collection[str] = ()) -> list[str]:
-        """List who reads for the group while some are not to be asked."""
-        return [name for name in self.order if name not in without][: self.readers]
+    def list_readers(self, excluded: Collection[str] = ()) -> list[str]:
+        """Return the readers of the group, none of them among the excluded instances."""
+        return [name for name in self.order if name not in excluded][: self.readers]
 
 
 class ReaderPlan:
-    """Whom this instance waits at. Invariant: never at itself, and at nobody without readers.
+    """Selects the reader at which this instance waits.
 
-    Instances that are gone stay on the list for a while, and lists differ. So every instance passes
-    over those that gave it no answer: when readers go, all of their zone find that out within a
-    second and come to the same next ones in the order, which find that they are readers now.
+    Invariant: an instance never waits at itself, and waits at no other if its zone has no readers.
+
+    Instances that are gone stay on the list for a while, and lists differ between instances. So
+    each instance skips readers that did not answer it. When readers are lost, all instances of
+    their zone notice it within a second and select the same successors in the order, which find
+    that they are readers now.
     """
 
     def __init__(self, instance: str, zone: str) -> None:
         self._instance = instance
         self._zone = zone
-        self._rests: dict[str, _Rest] = {}
-        # The groups of the list they were worked out from; a list that changes is a new object.
+        self._backoffs: dict[str, _Backoff] = {}
+        # The list from which the groups were computed; a changed list is a new object.
         self._instances: Mapping[str, InstanceRow] = {}
         self._groups: list[ReaderGroup] = []
 
     def choose(self, instances: Mapping[str, InstanceRow], now: float) -> str | None:
-        """Choose the instance to wait at; None if this one has to read the store itself."""
+        """Return the reader to wait at; None if this instance has to read the store itself."""
         readers = self._list_own_readers(instances, now)
         if not readers or self._instance in readers:
             return None
-        near = [name for name in readers if instances[name].zone == self._zone]
-        return rank_names(self._instance, near or readers)[0]
+        in_zone = [name for name in readers if instances[name].zone == self._zone]
+        return rank_names(self._instance, in_zone or readers)[0]
 
     def is_reader(self, instances: Mapping[str, InstanceRow], now: float) -> bool:
-        """Whether others wait at this instance, as far as it can tell."""
+        """Return whether others wait at this instance, according to its list of instances."""
         return self._instance in self._list_own_readers(instances, now)
 
     def list_relays(self, instances: Mapping[str, InstanceRow], now: float) -> list[str]:
-        """List the instances to tell of something, so that it reaches all that can be reached.
+        """Return the instances to notify of an update so that it reaches all reachable instances.
 
-        Readers pass on to those that wait at them.
+        Readers relay the update to the instances that wait at them.
         """
-        resting = self._list_resting(now)
+        silent = self._list_backed_off(now)
         relays: list[str] = []
         for group in self._find_groups(instances):
-            relays += group.list_readers(resting) or group.order
+            relays += group.list_readers(silent) or group.order
         return [name for name in relays if name != self._instance]
 
     def note_answer(self, reader: str) -> None:
-        """Note that a reader answered."""
-        self._rests.pop(reader, None)
+        """Record that a reader answered, which ends its backoff."""
+        self._backoffs.pop(reader, None)
 
     def note_silence(self, reader: str, now: float) -> None:
-        """Note that a reader gave no answer, or one too old to be of use."""
-        known = self._rests.get(reader)
-        length = FIRST_REST if known is None else min(LONGEST_REST, 2.0 * known.length)
-        self._rests[reader] = _Rest(length, now + length)
+        """Record that a reader did not answer or that its answer was too old, and back off."""
+        previous = self._backoffs.get(reader)
+        seconds = MIN_BACKOFF_S if previous is None else min(MAX_BACKOFF_S, 2.0 * previous.seconds)
+        self._backoffs[reader] = _Backoff(seconds, now + seconds)
 
     def _list_own_readers(self, instances: Mapping[str, InstanceRow], now: float) -> list[str]:
-        """List who reads for the own zone.
+        """Return the readers of this instance's zone.
 
-        One of another zone that is silent stands for its zone, which may be behind a cut: its
-        instances asked one after the other would take longer than most cuts.
+        A silent reader of another zone makes its whole zone count as silent: the zone may be
+        partitioned, and querying its instances one by one would take longer than most partitions.
         """
         group = next((g for g in self._find_groups(instances) if self._zone in g.zones), None)
         if group is None:
             return []
-        resting = self._list_resting(now)
-        silent = {instances[name].zone for name in resting if name in instances} - {self._zone}
-        if silent:
-            resting |= {name for name in group.order if instances[name].zone in silent}
-        return group.list_readers(resting)
+        silent = self._list_backed_off(now)
+        silent_zones = {instances[name].zone for name in silent if name in instances} - {self._zone}
+        if silent_zones:
+            silent |= {name for name in group.order if instances[name].zone in silent_zones}
+        return group.list_readers(silent)
 
     def _find_groups(self, instances: Mapping[str, InstanceRow]) -> list[ReaderGroup]:
         if instances is not self._instances:
@@ -151,26 +156,26 @@
             self._groups = form_groups(instances)
         return self._groups
 
-    def _list_resting(self, now: float) -> set[str]:
-        return {name for name, rest in self._rests.items() if now < rest.until}
+    def _list_backed_off(self, now: float) -> set[str]:
+        return {name for name, backoff in self._backoffs.items() if now < backoff.until}
 
 
 def form_groups(instances: Mapping[str, InstanceRow]) -> list[ReaderGroup]:
-    """Form the groups that read together, the same at every instance that has the same list.
+    """Return the groups of zones, the same at every instance that has the same list.
 
-    In a group those that have what a reader needs come before those that have less, then the first
-    of each zone, then the second; otherwise rendezvous order decides, so that an instance that
-    joins or leaves moves few.
+    Within a group, instances with the capacity that a reader should have come before weaker ones;
+    among equals, the first of each zone comes before the second of any. Otherwise rendezvous order
+    decides, so that an instance that joins or leaves changes the reader of few others.
     """
     sizes = Counter(row.zone for row in instances.values())
-    large = [frozenset({zone}) for zone, size in sizes.items() if size >= LEAST_ZONE]
-    small = frozenset(zone for zone, size in sizes.items() if size < LEAST_ZONE)
+    large = [frozenset({zone}) for zone, size in sizes.items() if size >= MIN_ZONE_INSTANCES]
+    small = frozenset(zone for zone, size in sizes.items() if size < MIN_ZONE_INSTANCES)
     groups: list[ReaderGroup] = []
     for zones in (*large, small):
         order = _rank_readers({n: row for n, row in instances.items() if row.zone in zones})
-        count = -(-len(order) // READER_PART)
+        count = -(-len(order) // INSTANCES_PER_READER)
         if zones is small:
-            count = max(LEAST_SHARED, count) if len(order) >= LEAST_GROUP else 0
+            count = max(MIN_GROUP_READERS, count) if len(order) >= MIN_GROUP_INSTANCES else 0
         groups.append(ReaderGroup(zones, order, count))
     return groups
 
@@ -179,19 +184,22 @@
     ranked: list[str] = []
     for zone in sorted({row.zone for row in members.values()}):
         ranked += rank_names(zone, [name for name, row in members.items() if row.zone == zone])
-    ranked.sort(key=lambda name: members[name].strength, reverse=True)
-    before: Counter[str] = Counter()
-    places: dict[str, tuple[float, int]] = {}
+    ranked.sort(key=lambda name: members[name].reader_fitness, reverse=True)
+    ranked_in_zone: Counter[str] = Counter()
+    sort_keys: dict[str, tuple[float, int]] = {}
     for name in ranked:
         row = members[name]
-        places[name] = (-row.strength, before[row.zone])
-        before[row.zone] += 1
-    return tuple(sorted(ranked, key=places.__getitem__))
+        sort_keys[name] = (-row.reader_fitness, ranked_in_zone[row.zone])
+        ranked_in_zone[row.zone] += 1
+    return tuple(sorted(ranked, key=sort_keys.__getitem__))
 
 
 def list_zone_readers(
-    instances: Mapping[str, InstanceRow], zone: str, without: Collection[str] = ()
+    instances: Mapping[str, InstanceRow], zone: str, excluded: Collection[str] = ()
 ) -> list[str]:
-    """List who reads the store for a zone; empty if each of its instances does so for itself."""
+    """Return the readers of a zone, none of them among the excluded instances.
+
+    The list is empty if each instance of the zone reads the store for itself.
+    """
     group = next((group for group in form_groups(instances) if zone in group.zones), None)
-    return [] if group is None else group.list_readers(without)
+    return [] if group is None else group.list_readers(excluded)
--- a/rhubarbbend/core/routing/__init__.py
+++ b/rhubarbbend/core/routing/__init__.py
@@ -1,6 +1,6 @@
-"""Routing policies: plug-ins that put the targets of a service in order for one request."""
+"""Routing policies: plug-ins that order the targets of a service for one request."""
 
-from rhubarbbend.core.routing import _affinity, _baselines  # noqa: F401  (they register themselves)
+from rhubarbbend.core.routing import _affinity, _baselines  # noqa: F401  (importing registers them)
 from rhubarbbend.core.routing._base import (
     POLICIES,
     Candidate,
--- a/rhubarbbend/core/routing/_base.py
+++ b/rhubarbbend/core/routing/_base.py
@@ -1,4 +1,4 @@
-"""The interface of routing policies and the types that they work on."""
+"""The interface of routing policies, and the types that they use."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a target was chosen; counted."""
+    """Why a target was chosen; the metrics count choices by reason."""
 
     TICKET = "ticket"
     HOME = "home"
@@ -25,10 +25,10 @@
 
 @attrs.define(slots=True, frozen=True)
 class Candidate:
-    """A target that may be asked for a slot.
+    """A target whose owner may be asked for a slot.
 
-    `load` and `limit` are as last heard, those of other zones' targets some seconds ago; `known`
-    says whether they have been heard at all.
+    `load` and `limit` are the last reported values, which for targets of other zones are some
+    seconds old; `known` is whether any have been reported.
     """
 
     target: str
@@ -42,16 +42,17 @@
 
     @property
     def full(self) -> bool:
-        """Whether the target was at its limit when last heard."""
+        """Whether the target was at its limit according to its last reported load."""
         return self.known and self.load >= self.limit
 
 
 @attrs.define(slots=True, frozen=True)
 class RoutedRequest:
-    """What a policy may know of a request.
+    """The properties of a request that a policy may use.
 
-    `tokens` is the prompt's length, `time_left` the seconds to its deadline, `prefill_rate` how
-    many tokens a second a target reads, `wall` Unix time.
+    `tokens` is the length of the prompt, `time_left` the seconds until the deadline, `max_wait` the
+    longest time to wait in a queue in seconds, `prefill_rate` the number of prompt tokens that a
+    target processes a second, `wall` the Unix time.
     """
 
     chat: str
@@ -65,7 +66,7 @@
 
 @attrs.define(slots=True, frozen=True)
 class Choice:
-    """Ask the owner of this target, and wait in its queue for at most `max_wait` seconds."""
+    """A target to ask for a slot, waiting in its owner's queue for at most `max_wait` seconds."""
 
     target: str
     max_wait: float
@@ -73,23 +74,23 @@
 
 
 def rank_candidates(chat: str, candidates: Sequence[Candidate]) -> list[int]:
-    """Give each candidate's rendezvous weight for a chat; every instance computes the same."""
+    """Return the candidates' rendezvous weights for a chat, the same at every instance."""
     return weigh_names(chat, [candidate.target for candidate in candidates])
 
 
 class RoutingPolicy(abc.ABC):
-    """Puts candidates in the order in which their owners are asked for a slot.
+    """Orders candidates; their owners are asked for a slot in this order.
 
-    Hooks: `plan` is called once for each routing of a request, with at least one candidate; the
-    entry duty asks the choices in order until one grants. A policy keeps no state of requests
-    and draws random numbers only from the generator passed in.
+    `plan` is called each time a request is routed, with at least one candidate. The instance that
+    received the request asks the owners of the choices in order until one grants a slot. A policy
+    keeps no state per request and takes random numbers only from the generator passed in.
     """
 
     @abc.abstractmethod
     def plan(
         self, request: RoutedRequest, candidates: Sequence[Candidate], random: Random
     ) -> list[Choice]:
-        """Give the choices, best first."""
+        """Return the choices, best first."""
 
 
 POLICIES: Final[Registry[RoutingPolicy]] = Registry("routing policy")
--- a/rhubarbbend/core/routing/_baselines.py
+++ b/rhubarbbend/core/routing/_baselines.py
@@ -1,4 +1,4 @@
-"""Baseline policies, to compare the default one with: none looks at where a context is."""
+"""Baseline policies to compare the default policy with; they ignore where a context is held."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 
 
-def _wait_at_each(request: RoutedRequest, ordered: Sequence[Candidate]) -> list[Choice]:
-    """Ask each in order without waiting, then wait at the first."""
+def _try_all_then_wait(request: RoutedRequest, ordered: Sequence[Candidate]) -> list[Choice]:
+    """Return choices that ask each candidate without waiting, then wait at the first."""
     choices = [Choice(candidate.target, 0.0, Reason.MOVED) for candidate in ordered]
     wait = min(request.max_wait, request.time_left)
     choices.append(Choice(ordered[0].target, wait, Reason.MOVED))
@@ -26,20 +26,20 @@
 
 @POLICIES.register("random")
 class RandomPolicy(RoutingPolicy):
-    """Any order."""
+    """Orders the targets at random."""
 
     def plan(
         self, request: RoutedRequest, candidates: Sequence[Candidate], random: Random
     ) -> list[Choice]:
-        """Give the candidates in random order."""
+        """Return the candidates in random order."""
         ordered = list(candidates)
         random.shuffle(ordered)
-        return _wait_at_each(request, ordered)
+        return _try_all_then_wait(request, ordered)
 
 
 @POLICIES.register("round_robin")
 class RoundRobinPolicy(RoutingPolicy):
-    """Each target in turn, for each instance by itself."""
+    """Starts with each target in turn; each instance keeps its own position."""
 
     def __init__(self) -> None:
         self._next = 0
@@ -47,32 +47,34 @@
     def plan(
         self, request: RoutedRequest, candidates: Sequence[Candidate], random: Random
     ) -> list[Choice]:
-        """Give the candidates in name order from the next one on."""
+        """Return the candidates in the order of their names, starting with the next one in turn."""
         ordered = sorted(candidates, key=lambda c: c.target)
         start = self._next % len(ordered)
         self._next += 1
-        return _wait_at_each(request, ordered[start:] + ordered[:start])
+        return _try_all_then_wait(request, ordered[start:] + ordered[:start])
 
 
 @POLICIES.register("least_loaded")
 class LeastLoadedPolicy(RoutingPolicy):
-    """The target with the least load as last heard; ties at random."""
+    """Starts with the target with the lowest last reported load; ties are broken at random."""
 
     def plan(
         self, request: RoutedRequest, candidates: Sequence[Candidate], random: Random
     ) -> list[Choice]:
-        """Give the candidates by load."""
-        return _wait_at_each(request, sorted(candidates, key=lambda c: (c.load, random.random())))
+        """Return the candidates by increasing load."""
+        return _try_all_then_wait(
+            request, sorted(candidates, key=lambda c: (c.load, random.random()))
+        )
 
 
 @POLICIES.register("rendezvous")
 class RendezvousPolicy(RoutingPolicy):
-    """Plain rendezvous hashing of the chat: waits at the home however loaded it is."""
+    """Plain rendezvous hashing of the chat: waits at the home target regardless of its load."""
 
     def plan(
         self, request: RoutedRequest, candidates: Sequence[Candidate], random: Random
     ) -> list[Choice]:
-        """Give the candidates in rendezvous order, each with the whole wait."""
+        """Return the candidates in rendezvous order, each with the maximum wait."""
         ordered = sorted(candidates, key=lambda c: rank(request.chat, c.target), reverse=True)
         wait = min(request.max_wait, request.time_left)
         return [Choice(candidate.target, wait, Reason.HOME) for candidate in ordered]
--- a/rhubarbbend/core/routing/_tickets.py
+++ b/rhubarbbend/core/routing/_tickets.py
@@ -1,8 +1,8 @@
-"""Chat tickets: signed hints that tell where a chat's context was left.
+"""Chat tickets: signed hints to the targets that hold a chat's context.
 
 A ticket is opaque to callers. It is only a hint: a forged, old or lost one costs cache reuse and
-nothing else, which is why a short signature is enough. The signature covers account and chat, so
-that a ticket does not lead another chat anywhere.
+nothing else, so a short signature is enough. The signature covers the account and the chat, so a
+ticket is not valid for another chat.
 """
 
 from __future__ import annotations
@@ -21,7 +21,11 @@
 
 
 class Place(msgspec.Struct, frozen=True, array_like=True):
-    """A target that holds a chat's context: boot id, Unix time of use, tokens held."""
+    """A target that holds a chat's context.
+
+    `boot_id` identifies one run of the target, `at` is the Unix time at which the target was used,
+    `tokens` the number of tokens held.
+    """
 
     target: str
     boot_id: str
@@ -30,7 +34,7 @@
 
 
 class Ticket(msgspec.Struct, frozen=True, array_like=True):
-    """The places of a chat's context, the latest first; at most two are kept."""
+    """The places that hold a chat's context, the latest first; at most two are kept."""
 
     places: tuple[Place, ...]
 
@@ -48,7 +52,7 @@
 
 
 def decode_ticket(secret: bytes, account: str, chat: str, text: str) -> Maybe[Ticket]:
-    """Decode a ticket; Nothing if it is malformed, forged or another chat's."""
+    """Decode a ticket; return Nothing if it is malformed, forged or of another chat."""
     if len(text) > MAX_TICKET_CHARS:
         return Nothing
     try:
--- a/tests/core/catalog/test_catalog.py
+++ b/tests/core/catalog/test_catalog.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix; accounts by key."""
+"""Look-up of routes by host and longest prefix, and of client accounts by key."""
 
 from __future__ import annotations
 
@@ -53,7 +53,9 @@
         ("plots.example", "/a/../c/1", "outer"),
     ],
 )
-def test_the_longest_prefix_of_the_host_decides(host: str, path: str, expected: str | None) -> None:
+def test_the_route_with_the_longest_prefix_is_found(
+    host: str, path: str, expected: str | None
+) -> None:
     route = CATALOG.find_route(host, path)
     assert (None if route is None else route.name) == expected
 
@@ -66,12 +68,12 @@
     assert CATALOG.find_account("key-3") is None
 
 
-def test_a_configuration_without_accounts_asks_for_no_key() -> None:
+def test_a_configuration_without_accounts_needs_no_key() -> None:
     assert CATALOG.needs_key
     assert not Catalog(1, [], [], None, LIMITS).needs_key
 
 
-def test_services_are_chosen_by_weight_and_the_same_for_the_same_point() -> None:
+def test_services_are_chosen_in_proportion_to_their_weights() -> None:
     shares = (ServiceShare("a", 90), ServiceShare("none", 0), ServiceShare("b", 10))
     route = Route("r", "h", "/", RequestKind.SAFE, 1.0, 0.2, 0, shares, 2)
     points = [number / 1_000 for number in range(1_000)]
--- a/tests/core/limits/__init__.py
+++ b/tests/core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the limits of client accounts."""
+"""Tests of `rhubarbbend.core.limits`."""
--- a/tests/core/limits/test_in_flight.py
+++ b/tests/core/limits/test_in_flight.py
@@ -1,4 +1,4 @@
-"""The limit on open requests of an account."""
+"""The limit on an account's requests in flight."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 @given(steps=st.lists(st.tuples(st.booleans(), st.integers(0, 2)), max_size=60))
-def test_an_account_is_over_its_limit_exactly_when_it_has_more_open(
+def test_an_account_is_over_its_limit_only_with_more_requests_in_flight(
     steps: list[tuple[bool, int]],
 ) -> None:
     limit = LIMITS.find("in_flight")()
     accounts = [Account(name=f"a{n}", key_digest="", max_in_flight=n + 1) for n in range(3)]
-    held = [0, 0, 0]
-    for opens, number in steps:
-        if opens:
-            held[number] += 1
-            assert limit.open(accounts[number], 0.0) == (held[number] <= number + 1)
-        elif held[number]:
-            held[number] -= 1
+    in_flight = [0, 0, 0]
+    for is_open, number in steps:
+        if is_open:
+            in_flight[number] += 1
+            assert limit.open(accounts[number], 0.0) == (in_flight[number] <= number + 1)
+        elif in_flight[number]:
+            in_flight[number] -= 1
             limit.close(accounts[number])
--- a/tests/core/readers/__init__.py
+++ b/tests/core/readers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of who reads the store."""
+"""Tests of `rhubarbbend.core.readers`."""
--- a/tests/core/readers/test_leases.py
+++ b/tests/core/readers/test_leases.py
@@ -1,47 +1,47 @@
-"""Which rows of the list of instances have lapsed."""
+"""Which rows of the list of instances have expired."""
 
 from __future__ import annotations
 
 from rhubarbbend.core.mirror import MirroredRow
 from rhubarbbend.core.readers import RENEW_INTERVAL, InstanceLeases
-from rhubarbbend.core.readers._leases import MAX_GAP, ROW_LIFE
+from rhubarbbend.core.readers._leases import MAX_READ_GAP_S, ROW_LIFE
 
-# The list is read this often.
-INTERVAL = 20.0
+# Seconds between two reads of the list.
+READ_INTERVAL_S = 20.0
 
 
 def make_row(name: str, version: int) -> MirroredRow:
     return MirroredRow(name, b"{}", version)
 
 
-def test_a_row_that_is_never_written_again_lapses() -> None:
-    # Of two instances one is lost. The other writes its row every five minutes and stays.
+def test_a_row_that_is_never_rewritten_expires() -> None:
+    # One of two instances crashed. The other rewrites its row every five minutes and must stay.
     leases = InstanceLeases()
     now = 100.0
-    lapsed: list[str] = []
-    while now < 100.0 + ROW_LIFE + INTERVAL:
+    expired: list[str] = []
+    while now < 100.0 + ROW_LIFE + READ_INTERVAL_S:
         renewals = int((now - 100.0) / RENEW_INTERVAL)
-        rows = [make_row("lost", 1), make_row("lives", 2 + renewals)]
-        lapsed = [row.key for row in leases.observe(rows, now)]
-        assert not lapsed or now >= 100.0 + ROW_LIFE
-        now += INTERVAL
-    assert lapsed == ["lost"]
+        rows = [make_row("crashed", 1), make_row("live", 2 + renewals)]
+        expired = [row.key for row in leases.observe(rows, now)]
+        assert not expired or now >= 100.0 + ROW_LIFE
+        now += READ_INTERVAL_S
+    assert expired == ["crashed"]
 
 
 def test_time_in_which_the_list_was_not_read_does_not_count() -> None:
-    # The store was away for an hour, for everyone. All rows are as old as that, and those whose
-    # instances live are written again only in the next minutes.
+    # The store was unreachable for all instances for an hour. All rows are that old, and live
+    # instances rewrite theirs only within the next minutes, so none may expire yet.
     leases = InstanceLeases()
     assert leases.observe([make_row("a", 1)], 0.0) == []
     assert leases.observe([make_row("a", 1)], 3_600.0) == []
-    assert leases.observe([make_row("a", 1)], 3_600.0 + MAX_GAP) == []
+    assert leases.observe([make_row("a", 1)], 3_600.0 + MAX_READ_GAP_S) == []
 
 
-def test_an_instance_that_came_back_under_its_name_counts_anew() -> None:
+def test_a_new_version_of_a_row_restarts_its_age() -> None:
     leases = InstanceLeases()
     now = 0.0
-    while now < ROW_LIFE - INTERVAL:
+    while now < ROW_LIFE - READ_INTERVAL_S:
         assert leases.observe([make_row("a", 1)], now) == []
-        now += INTERVAL
+        now += READ_INTERVAL_S
     assert leases.observe([make_row("a", 9)], now) == []
-    assert leases.observe([make_row("a", 9)], now + MAX_GAP) == []
+    assert leases.observe([make_row("a", 9)], now + MAX_READ_GAP_S) == []
--- a/tests/core/readers/test_readers.py
+++ b/tests/core/readers/test_readers.py
@@ -1,4 +1,4 @@
-"""Who reads the store for a zone, and what is passed on to those that wait there."""
+"""Which instances read the store for a zone, and which updates they relay."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     assert len(list_zone_readers({**zone, **make_zone(3, "b")}, "b")) == 0
 
 
-def test_strong_instances_read_before_weak_ones() -> None:
-    # A configuration of 64 KB to 16 instances takes 1.5 s over a link of 10 Mbit/s, and a change
-    # has to be in force within 2 s.
+def test_instances_with_more_bandwidth_are_readers_first() -> None:
+    # Sending a configuration of 64 KB to 16 instances takes 1.5 s over a link of 10 Mbit/s, and a
+    # change has to be in force within 2 s.
     zone = make_zone(20, link=10.0)
     zone["strong"] = InstanceRow("a", "h", 99, 200.0, 2.0)
     assert list_zone_readers(zone, "a")[0] == "strong"
     assert "strong" not in list_zone_readers(zone, "a", {"strong"})
 
 
-def test_every_instance_waits_at_a_reader_and_readers_at_nobody() -> None:
+def test_every_instance_but_the_readers_waits_at_a_reader() -> None:
     zone = make_zone(20)
     readers = list_zone_readers(zone, "a")
     for name in zone:
@@ -38,25 +38,25 @@
         assert ReaderPlan(name, "a").is_reader(zone, 0.0) == (name in readers)
 
 
-def test_when_readers_are_silent_all_come_to_the_same_next_ones() -> None:
-    # Both readers of a zone are gone, and their rows stay on the list. Each of the others finds
-    # them silent; one of the next two finds that it is a reader, and the others wait at it.
+def test_all_instances_select_the_same_successors_of_silent_readers() -> None:
+    # Both readers of a zone crash, and their rows stay on the list. Each other instance gets no
+    # answer from them. The next two find that they are readers, and the others wait at these.
     zone = make_zone(20)
-    gone = list_zone_readers(zone, "a")
-    following = list_zone_readers(zone, "a", set(gone))
-    chosen: set[str | None] = set()
+    crashed = list_zone_readers(zone, "a")
+    successors = list_zone_readers(zone, "a", set(crashed))
+    selected: set[str | None] = set()
     for name in zone:
-        if name in gone:
+        if name in crashed:
             continue
         plan = ReaderPlan(name, "a")
-        for reader in gone:
+        for reader in crashed:
             plan.note_silence(reader, 0.0)
-        chosen.add(plan.choose(zone, 1.0))
-        assert plan.is_reader(zone, 1.0) == (name in following)
-    assert chosen == {None, *following}
+        selected.add(plan.choose(zone, 1.0))
+        assert plan.is_reader(zone, 1.0) == (name in successors)
+    assert selected == {None, *successors}
 
 
-def test_a_silent_reader_is_tried_again_later_and_later() -> None:
+def test_the_backoff_of_a_silent_reader_doubles() -> None:
     zone = make_zone(6)
     reader = list_zone_readers(zone, "a")[0]
     plan = ReaderPlan(next(name for name in zone if name != reader), "a")
@@ -69,7 +69,7 @@
     assert plan.choose(zone, 6.0) == reader
 
 
-def test_relays_reach_every_zone_but_not_every_instance() -> None:
+def test_relays_are_readers_of_large_zones_and_all_instances_of_small_ones() -> None:
     everyone = {**make_zone(20, "a"), **make_zone(20, "b"), **make_zone(3, "c")}
     relays = ReaderPlan("a-0", "a").list_relays(everyone, 0.0)
     by_zone = {zone: sum(name.startswith(zone) for name in relays) for zone in "abc"}
@@ -77,9 +77,9 @@
     assert "a-0" not in relays
 
 
-def test_who_makes_a_zone_large_is_told_to_all_of_it() -> None:
-    # Four read for themselves and wait at nobody. The fifth sees a zone that has a reader; told
-    # to that alone, the others would not count it.
+def test_an_instance_that_makes_its_zone_large_notifies_all_of_it() -> None:
+    # Four instances read the store for themselves and wait at no reader. The fifth makes the zone
+    # large enough for a reader. If it notified only that one, the others would not learn of it.
     zone = make_zone(5)
     others = {name: row for name, row in zone.items() if name != "a-4"}
     assert sorted(ReaderPlan("a-4", "a").list_relays(others, 0.0)) == sorted(others)
@@ -107,11 +107,11 @@
         ((20, 3, 3), 2),
     ],
 )
-def test_small_zones_of_a_middle_fleet_share_a_few_readers(
+def test_small_zones_share_readers_once_they_are_large_together(
     sizes: tuple[int, ...], readers: int
 ) -> None:
-    # Nineteen instances in five zones: each read the store by itself, since no zone was large, and
-    # a change woke nineteen calls. That cost a quarter of the fleet's worth.
+    # With nineteen instances in five zones, no zone was large, so each instance read the store for
+    # itself and a change completed nineteen calls. That cost a quarter of the fleet's worth.
     fleet = {
         f"{zone}-{n}": InstanceRow(f"zone-{zone}", "h", n, 100.0, 2.0)
         for zone, size in enumerate(sizes)
@@ -120,26 +120,26 @@
     assert len(list_all_readers(fleet)) == readers
 
 
-def test_readers_of_small_zones_stand_in_different_ones() -> None:
-    # A zone that is lost takes one of the two readers with it, not both.
+def test_readers_shared_by_small_zones_are_in_different_zones() -> None:
+    # The loss of a zone must take only one of the two readers.
     fleet = make_fleet(4, 4, 4, 3, 4)
     assert len({fleet[name].zone for name in list_all_readers(fleet)}) == 2
 
 
 def test_an_instance_waits_at_the_reader_of_its_own_zone_if_there_is_one() -> None:
-    # Bytes between zones have their price.
+    # Traffic between zones is charged.
     fleet = make_fleet(4, 4, 4, 3, 4)
-    near = {fleet[name].zone: name for name in list_all_readers(fleet)}
-    assert near
+    reader_of_zone = {fleet[name].zone: name for name in list_all_readers(fleet)}
+    assert reader_of_zone
     for name, row in fleet.items():
         chosen = ReaderPlan(name, row.zone).choose(fleet, 0.0)
-        if row.zone in near and name != near[row.zone]:
-            assert chosen == near[row.zone]
+        if row.zone in reader_of_zone and name != reader_of_zone[row.zone]:
+            assert chosen == reader_of_zone[row.zone]
 
 
-def test_a_small_zone_that_is_cut_off_comes_to_a_reader_of_its_own() -> None:
-    # Nobody beyond the cut answers. Asked one after the other, sixteen instances of the other zones
-    # would take longer than the cut; one that is silent stands for its zone.
+def test_a_partitioned_small_zone_finds_a_reader_of_its_own() -> None:
+    # No instance beyond the partition answers. Querying the sixteen instances of the other zones
+    # one by one would take longer than the partition, so one silent instance counts for its zone.
     fleet = make_fleet(4, 4, 4, 3, 4)
     for name in ("d-0", "d-1", "d-2"):
         plan = ReaderPlan(name, "d")
@@ -151,13 +151,13 @@
         assert chosen is None or chosen.startswith("d")
 
 
-def test_relays_reach_small_zones_through_the_readers_that_they_share() -> None:
+def test_relays_of_small_zones_are_their_shared_readers() -> None:
     fleet = make_fleet(20, 4, 4, 4)
     relays = ReaderPlan("a-0", "a").list_relays(fleet, 0.0)
     assert len([name for name in relays if not name.startswith("a")]) == 2
 
 
-def test_news_are_given_once_and_in_order_to_each_that_waits() -> None:
+def test_items_after_a_position_are_listed_once_and_in_order() -> None:
     log: NewsLog[str] = NewsLog()
     begin = log.list_after(None)
     assert begin.items == [] and begin.position == 0
@@ -166,11 +166,11 @@
     assert log.list_after(begin.position).items == ["x", "y", "z"]
     assert log.list_after(2).items == ["z"]
     assert log.list_after(3).items == []
-    # Whoever comes from another instance's log takes up here, with nothing.
+    # A listener that comes from another instance's log starts at the end of this one.
     assert log.list_after(99).items == []
 
 
-def test_a_listener_that_is_far_behind_gets_what_is_kept() -> None:
+def test_a_listener_that_is_far_behind_gets_the_items_that_are_kept() -> None:
     log: NewsLog[int] = NewsLog()
     for item in range(2_500):
         log.add(item)
--- a/tests/core/routing/__init__.py
+++ b/tests/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the routing policies."""
+"""Tests of `rhubarbbend.core.routing`."""
