--- a/rhubarbbend/core/catalog/_types.py
+++ b/rhubarbbend/core/catalog/_types.py
@@ -48,7 +48,7 @@
     pause_objective: float = 0.0
 
     def choose_service(self, point: float) -> str:
-        """Return the service at a point from 0 to 1 of the shares laid end to end by weight.
+        """Return a service selected by weight; `point`, from 0 to 1, decides which.
 
         Return an empty string if no service has a positive weight.
         """
--- a/rhubarbbend/core/delivery/_patience.py
+++ b/rhubarbbend/core/delivery/_patience.py
@@ -83,17 +83,17 @@
 class LatencyEstimator:
     """Moving averages of a latency and of its deviation from the mean."""
 
-    __slots__ = ("_mean", "_deviation", "_known")
+    __slots__ = ("_mean", "_deviation", "_has_samples")
 
     def __init__(self) -> None:
         self._mean = 0.0
         self._deviation = 0.0
-        self._known = False
+        self._has_samples = False
 
     def record(self, seconds: float) -> None:
         """Record one latency."""
-        if not self._known:
-            self._known = True
+        if not self._has_samples:
+            self._has_samples = True
             self._mean = seconds
             self._deviation = seconds / 2.0
             return
--- a/rhubarbbend/core/delivery/_steps.py
+++ b/rhubarbbend/core/delivery/_steps.py
@@ -80,16 +80,16 @@
     """
     if end is AttemptEnd.ANSWERED:
         return PASS_ANSWER
-    has_target_left = progress.targets < route.max_attempts
+    has_attempt_left = progress.targets < route.max_attempts
     if end is AttemptEnd.UNREACHED:
         return Step(True)
     if end is AttemptEnd.MISDIRECTED:
         return Step(True)
     if end is AttemptEnd.REJECTED and (not progress.may_have_run or route.idempotent):
-        return Step(has_target_left, codes.OVERLOADED)
+        return Step(has_attempt_left, codes.OVERLOADED)
     if end is AttemptEnd.FAILED:
         # The target's own answer tells the caller more than an error generated here.
-        return Step(True) if has_target_left and route.idempotent else PASS_ANSWER
-    if has_target_left and route.idempotent:
+        return Step(True) if has_attempt_left and route.idempotent else PASS_ANSWER
+    if has_attempt_left and route.idempotent:
         return Step(True, codes.TARGET_FAILED)
     return Step(False, codes.TARGET_FAILED)
--- a/rhubarbbend/core/mirror/_tables.py
+++ b/rhubarbbend/core/mirror/_tables.py
@@ -50,14 +50,14 @@
     page has been merged.
     """
 
-    __slots__ = ("position", "_rows", "_dropped", "_forgotten")
+    __slots__ = ("position", "_rows", "_deleted", "_purged_version")
 
     def __init__(self) -> None:
         self.position = -1
         self._rows: dict[str, MirroredRow] = {}
-        self._dropped: dict[str, MirroredRow] = {}
+        self._deleted: dict[str, MirroredRow] = {}
         # Deletions up to this version are no longer remembered individually.
-        self._forgotten = 0
+        self._purged_version = 0
 
     @property
     def known(self) -> bool:
@@ -87,20 +87,20 @@
 
     def list_changes(self, after: int) -> TablePage:
         """Return a page that updates a copy complete up to `after` to this table's position."""
-        if after < self._forgotten or after < 0:
+        if after < self._purged_version or after < 0:
             return TablePage(self.list_rows(), self.position, True)
         rows = [row for row in self._rows.values() if row.version > after]
-        rows += [row for row in self._dropped.values() if row.version > after]
+        rows += [row for row in self._deleted.values() if row.version > after]
         return TablePage(rows, self.position, False)
 
     def _merge_row(self, row: MirroredRow, changes: list[Change]) -> None:
-        current = self._rows.get(row.key) or self._dropped.get(row.key)
+        current = self._rows.get(row.key) or self._deleted.get(row.key)
         if current is not None and current.version >= row.version:
             return
         if row.value is None:
             self._delete(row)
         else:
-            self._dropped.pop(row.key, None)
+            self._deleted.pop(row.key, None)
             self._rows[row.key] = row
         changes.append(Change(row.key, row.value))
 
@@ -111,10 +111,10 @@
 
     def _delete(self, row: MirroredRow) -> None:
         self._rows.pop(row.key, None)
-        self._dropped[row.key] = row
-        while len(self._dropped) > MAX_DELETED_ROWS:
-            oldest = next(iter(self._dropped))
-            self._forgotten = max(self._forgotten, self._dropped.pop(oldest).version)
+        self._deleted[row.key] = row
+        while len(self._deleted) > MAX_DELETED_ROWS:
+            oldest = next(iter(self._deleted))
+            self._purged_version = max(self._purged_version, self._deleted.pop(oldest).version)
 
 
 class Mirror:
--- a/rhubarbbend/core/readers/_leases.py
+++ b/rhubarbbend/core/readers/_leases.py
@@ -28,7 +28,7 @@
 MAX_READ_GAP_S: Final = 60.0
 
 
-class _RowAge(msgspec.Struct, frozen=True):
+class _SeenVersion(msgspec.Struct, frozen=True):
     """A row's version, and the time at which this instance first read it."""
 
     version: int
@@ -44,20 +44,20 @@
     """
 
     def __init__(self) -> None:
-        self._ages: dict[str, _RowAge] = {}
+        self._seen: dict[str, _SeenVersion] = {}
         self._read_at = -math.inf
 
     def observe(self, rows: Iterable[MirroredRow], now: float) -> list[MirroredRow]:
         """Record the list as just read, and return the rows that have expired."""
-        previous = self._ages if now - self._read_at <= MAX_READ_GAP_S else {}
+        previous = self._seen if now - self._read_at <= MAX_READ_GAP_S else {}
         self._read_at = now
-        self._ages = {}
+        self._seen = {}
         expired: list[MirroredRow] = []
         for row in rows:
-            age = previous.get(row.key)
-            if age is None or age.version != row.version:
-                age = _RowAge(row.version, now)
-            self._ages[row.key] = age
-            if now - age.since >= ROW_LIFE:
+            seen = previous.get(row.key)
+            if seen is None or seen.version != row.version:
+                seen = _SeenVersion(row.version, now)
+            self._seen[row.key] = seen
+            if now - seen.since >= ROW_LIFE:
                 expired.append(row)
         return expired
--- a/rhubarbbend/core/readers/_news.py
+++ b/rhubarbbend/core/readers/_news.py
@@ -23,7 +23,7 @@
 class NewsLog(Generic[T]):
     """A bounded log of numbered items. Invariant: the last item has the number `position`.
 
-    Items are hints: a lost one only means that a prompt is read again. So no item is acknowledged,
+    Items are hints: losing one only costs another prefill of a prompt. So no item is acknowledged,
     a listener that is too far behind gets only the items still kept, and one whose position is of
     another instance's log may get none.
     """
--- a/rhubarbbend/core/readers/_plan.py
+++ b/rhubarbbend/core/readers/_plan.py
@@ -30,7 +30,7 @@
 # An instance that listens on all addresses of its machine may send from any of them.
 ANY_HOST: Final = ("0.0.0.0", "::")
 # Backoff after a reader did not answer, doubled each time. It is long enough that few queries are
-# sent in vain, and short against the seconds for which an instance is stopped.
+# sent in vain, and short compared with the seconds for which a stopped instance is down.
 MIN_BACKOFF_S: Final = 2.0
 MAX_BACKOFF_S: Final = 16.0
 
--- a/tests/core/delivery/test_patience.py
+++ b/tests/core/delivery/test_patience.py
@@ -56,7 +56,7 @@
 
 
 def test_probe_delay_follows_the_observed_latency() -> None:
-    # Prompts that take 0.3 to 0.5 s to read must not make a live target look unreachable.
+    # Prompts that take 0.3 to 0.5 s to process must not make a live target look unreachable.
     tracker = PaceBook()
     for number in range(60):
         tracker.note_first(LABEL_ROUTE, 0.3 + 0.1 * (number % 3))
--- a/tests/core/limits/test_in_flight.py
+++ b/tests/core/limits/test_in_flight.py
@@ -10,7 +10,7 @@
 
 
 @given(steps=st.lists(st.tuples(st.booleans(), st.integers(0, 2)), max_size=60))
-def test_an_account_is_over_its_limit_only_with_more_requests_in_flight(
+def test_a_request_is_over_the_limit_exactly_if_more_are_in_flight(
     steps: list[tuple[bool, int]],
 ) -> None:
     limit = LIMITS.find("in_flight")()
--- a/tests/core/routing/test_affinity.py
+++ b/tests/core/routing/test_affinity.py
@@ -14,7 +14,7 @@
 
 
 def make_targets(count: int, zones: int = 3, own: int = 0) -> list[Candidate]:
-    """Make idle, warm targets spread over zones; the load of other zones' is unknown."""
+    """Make idle, warm targets spread over zones; loads of other zones are unknown."""
     return [
         Candidate(
             target=f"engine-{n}",
@@ -116,7 +116,8 @@
 
 def test_loss_of_a_zone_moves_only_its_own_chats_and_evenly() -> None:
     # Three zones have nine targets; one zone leaves, and six targets remain. Chats whose home is in
-    # another zone keep it, and the chats of the lost zone are spread over all remaining targets.
+    # another zone keep it. The chats of the lost zone are spread over all remaining targets, and
+    # have their old homes again when it returns.
     targets = make_targets(9)
     remaining = [target for target in targets if target.zone != "zone-2"]
     moved: dict[str, int] = {}
