--- a/rhubarbbend/http/__init__.py
+++ b/rhubarbbend/http/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on both sides of an instance: the public face of the h11 server and client.
+"""HTTP/1.1 server and client of an instance, built on asyncio and h11.
 
-The server answers callers, the client talks to targets and to the platform. Both are plain
-asyncio streams around h11; neither takes a decision, which is the core's work.
+The server answers callers; the client sends requests to targets and to the platform. Neither
+decides what to do with a request: routing and retries are decided by the core.
 """
 
 from rhubarbbend.http._connection import Connection, Response
--- a/rhubarbbend/http/_connection.py
+++ b/rhubarbbend/http/_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection: a request at a time, and what comes back on it."""
+"""An HTTP/1.1 client connection, which sends one request at a time and reads its response."""
 
 from __future__ import annotations
 
@@ -17,20 +17,22 @@
     SendStage,
 )
 from rhubarbbend.http._protocol import ClientProtocol
-from rhubarbbend.http._pump import BodyPatience, BodyPump, BodyRelay, FixedPatience
+from rhubarbbend.http._pump import BodyForwarder, BodyPatience, BodyRelay, FixedTimeoutPolicy
 
 MAX_HEAD_BYTES: Final = 65_536
-DEFAULT_CONNECT_TIMEOUT: Final = 1.0
-# Turns of the loop from the readiness of a socket to the end of asyncio's `create_connection`.
-TURNS_TO_OPEN: Final = 6
+DEFAULT_CONNECT_TIMEOUT_S: Final = 1.0
+# Event loop iterations that asyncio's `create_connection` needs to finish once the socket is
+# connected.
+CONNECT_LOOP_ITERATIONS: Final = 6
 
 Address = tuple[str, int]
 
 
 class Response(msgspec.Struct):
-    """A response head; the body is read from its connection.
+    """A response head; the body is read separately from the connection.
 
-    `raw_headers` holds every header as sent, with names in lower case.
+    `raw_headers` holds every header as received, repeated names included, with names in lower
+    case.
     """
 
     status: int
@@ -39,7 +41,7 @@
 
 
 class Connection:
-    """One client connection. Invariant: carries one request at a time."""
+    """A client connection. Invariant: at most one request is in flight."""
 
     __slots__ = (
         "address",
@@ -55,28 +57,28 @@
     def __init__(self, address: Address, protocol: ClientProtocol) -> None:
         self.address = address
         self.idle_since = 0.0
-        # For how many seconds the other side keeps it open while it idles; None: not said.
+        # Seconds for which the peer keeps the connection open while it is idle; None if not stated.
         self.idle_limit: float | None = None
         self.reused = False
-        # For how many seconds it had been idle when it was taken; 0 if it is new.
+        # Seconds for which the connection was idle before it was reused; 0 if it is new.
         self.rested = 0.0
         self._sent: list[h11.Event] = []
         self._conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._protocol = protocol
 
     @classmethod
-    async def open(cls, address: Address, timeout: float = DEFAULT_CONNECT_TIMEOUT) -> Connection:
+    async def open(cls, address: Address, timeout: float = DEFAULT_CONNECT_TIMEOUT_S) -> Connection:
         """Connect within `timeout` seconds or raise `HttpFailure` at stage CONNECT.
 
-        Where the machine stops this process for a tenth of a second, as a quota of processor time
-        does, the time-out and the new connection are seen in the same turn of the loop. Such a
-        connection is taken; counted as failed, it would hold a sound target down.
+        If this process is suspended for a tenth of a second, for example by a CPU quota, it sees
+        the time-out and the new connection in the same event loop iteration. The connection is
+        used in that case: reporting a failure would mark a healthy target as down.
         """
         loop = asyncio.get_running_loop()
         opening = asyncio.ensure_future(loop.create_connection(ClientProtocol, *address))
         try:
             await asyncio.wait((opening,), timeout=timeout)
-            for _ in range(TURNS_TO_OPEN):
+            for _ in range(CONNECT_LOOP_ITERATIONS):
                 if not opening.done():
                     await asyncio.sleep(0)
             if not opening.done():
@@ -90,27 +92,33 @@
 
     @property
     def last_received(self) -> float:
-        """When something came last, be it only the acceptance of the connection."""
+        """Return when data was last received, in the event loop's time.
+
+        Before any data is received, it is the time at which the connection was established.
+        """
         return self._protocol.last_received
 
     @property
     def longest_pause(self) -> float:
-        """The longest time between two parts of a body that was relayed, in seconds."""
+        """Return the longest time between two received parts of a relayed body, in seconds."""
         return self._protocol.longest_pause
 
     def reset_pause(self) -> None:
-        """Measure the longest pause from now on."""
+        """Reset `longest_pause`, so that it covers only what follows."""
         self._protocol.longest_pause = 0.0
 
     @property
     def traffic(self) -> int:
-        """Bytes sent and received."""
+        """Return the number of bytes sent and received."""
         return self._protocol.traffic
 
     async def send(
         self, method: str, target: str, headers: list[tuple[str, str]], body: bytes
     ) -> None:
-        """Write a whole request to the address itself."""
+        """Write a whole request, with `Host` and `Content-Length` added to its headers.
+
+        Return once the transport accepts more data; raise `HttpFailure` on failure.
+        """
         raw = [(k.encode("ascii"), v.encode("latin-1")) for k, v in headers]
         raw.append((b"Host", f"{self.address[0]}:{self.address[1]}".encode("ascii")))
         raw.append((b"Content-Length", str(len(body)).encode("ascii")))
@@ -123,9 +131,10 @@
     def send_raw(
         self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Write a whole request whose headers are complete, without waiting for the other side.
+        """Write a whole request with complete headers, without waiting until it is sent.
 
-        A target may answer before it has taken the body; waiting here would leave that unread.
+        A target may respond before it has read the body; waiting here would leave that response
+        unread. Raise `HttpFailure` at stage CONNECT if the request is invalid.
         """
         try:
             head = h11.Request(method=method, target=target, headers=headers)
@@ -139,10 +148,11 @@
         self._protocol.transport.write(data)
 
     async def skip_response(self, timeout: float) -> None:
-        """Read to the end of a response that belongs to no request and wait for the next.
+        """Discard the body of a response that belongs to no request and prepare for the next head.
 
-        A target may send an answer twice, the second where that of the next request is due.
-        h11 allows one response to a request, so a new state takes what follows.
+        A target may send a response twice; the duplicate then arrives where the response to the
+        next request is expected. h11 allows one response per request, so a new h11 connection
+        state parses what follows. `timeout` is the progress time-out in seconds.
         """
         async for _ in self.receive_body(timeout):
             pass
@@ -154,7 +164,7 @@
             self._conn.receive_data(rest)
 
     async def receive_head(self, timeout: float) -> Response:
-        """Wait at most `timeout` seconds for the response head."""
+        """Return the response head; raise `HttpFailure` if it takes over `timeout` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 while True:
@@ -172,10 +182,11 @@
             raise HttpFailure(SendStage.SENT, str(error)) from error
 
     async def receive_body(self, progress_timeout: float) -> AsyncIterator[bytes]:
-        """Yield the body; each part must come within `progress_timeout` seconds.
+        """Yield the parts of the body; each must arrive within `progress_timeout` seconds.
 
-        The limit is on silence, not on the whole body: a connection that something in between
-        has lost track of stays open and delivers nothing for ever.
+        The time-out applies to each wait for data, not to the whole body. It is needed because a
+        connection whose state a middlebox has lost stays open and never delivers anything.
+        Raise `HttpFailure` at stage RESPONSE if the body is incomplete.
         """
         try:
             while True:
@@ -195,25 +206,26 @@
         except (OSError, h11.RemoteProtocolError) as error:
             raise HttpFailure(SendStage.RESPONSE, str(error)) from error
 
-    async def relay_body(self, relay: BodyRelay, patience: BodyPatience | float) -> None:
-        """Give the body to a relay part by part, in the loop's turn that received each.
+    async def relay_body(self, relay: BodyRelay, timeout_policy: BodyPatience | float) -> None:
+        """Pass each part of the body to a relay in the event loop iteration that received it.
 
-        Ends as `receive_body` does; a number is a fixed patience, in seconds. One timer watches
-        the whole body in place of one a part.
+        `timeout_policy` limits the time without progress; a number is a fixed limit in seconds.
+        One timer covers the whole body instead of one timer per part. Raise `HttpFailure` at
+        stage RESPONSE if the body is incomplete.
         """
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[None] = loop.create_future()
-        if not isinstance(patience, BodyPatience):
-            patience = FixedPatience(patience)
-        pump = BodyPump(self._conn, self._protocol, relay, ended, patience)
+        if not isinstance(timeout_policy, BodyPatience):
+            timeout_policy = FixedTimeoutPolicy(timeout_policy)
+        forwarder = BodyForwarder(self._conn, self._protocol, relay, ended, timeout_policy)
         try:
-            pump.start()
+            forwarder.start()
             await ended
         finally:
-            pump.stop()
+            forwarder.stop()
 
     def make_reusable(self) -> bool:
-        """Prepare for a next request; False if the connection must be closed."""
+        """Prepare for the next request; return False if the connection must be closed instead."""
         if self._conn.our_state is not h11.DONE or self._conn.their_state is not h11.DONE:
             return False
         if self._protocol.closed or self.has_stray_bytes or self._protocol.unsent:
@@ -224,14 +236,14 @@
 
     @property
     def has_stray_bytes(self) -> bool:
-        """Whether the other side has sent more than it was asked for."""
+        """Return whether the peer has sent data beyond the response."""
         return bool(self._conn.trailing_data[0]) or self._protocol.unread > 0
 
     @property
     def closed(self) -> bool:
-        """Whether the other side has closed."""
+        """Return whether the connection is closed or the peer has closed its side."""
         return self._protocol.closed
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately and discard unsent data."""
         self._protocol.transport.abort()
--- a/rhubarbbend/http/_exchange.py
+++ b/rhubarbbend/http/_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its response, as a server's handler sees them."""
+"""A request and its response, as the handler of an HTTP server sees them."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 import h11
 import msgspec
 
-WRITE_HIGH_WATER: Final = 262_144
-# A client that takes nothing of its answer for this long is given up, in seconds.
-STALL_TIMEOUT: Final = 30.0
+# Above this many unsent bytes, writers of response bodies have to wait.
+WRITE_HIGH_WATER_BYTES: Final = 262_144
+# A connection is aborted if its client keeps the write buffer full for this long.
+STALL_TIMEOUT_S: Final = 30.0
 
 Headers = list[tuple[str, str]]
 RawHeaders = list[tuple[bytes, bytes]]
 
 
 class DrainState(msgspec.Struct):
-    """Whether the server is about to stop; shared with every exchange."""
+    """Whether the server is draining; one object is shared by the server and its exchanges."""
 
     draining: bool = False
 
 
 class Exchange:
-    """One request and its response. Invariant: at most one response is started."""
+    """A request and its response. Invariant: at most one response is started."""
 
     __slots__ = (
         "method",
@@ -51,12 +52,12 @@
         self.method = request.method.decode("ascii")
         self.target = request.target.decode("ascii", "replace")
         self.headers = {k.decode("ascii"): v.decode("latin-1") for k, v in request.headers}
-        # As sent, repeated names included, for whoever passes them on.
+        # The headers as received, repeated names included, for forwarding.
         self.raw_headers: list[tuple[bytes, bytes]] = list(request.headers)
         self.body = body
-        # Set once the client has gone, so that a handler can cancel the work.
+        # Set once the client has disconnected, so that the handler can cancel its work.
         self.closed = asyncio.Event()
-        # Called in the loop's turn in which the client is seen to have gone.
+        # Called in the event loop iteration in which the disconnection of the client is detected.
         self.on_closed: Callable[[], object] | None = None
         self._conn = conn
         self._writer = writer
@@ -65,68 +66,69 @@
 
     @property
     def started(self) -> bool:
-        """Whether the response head has been sent."""
+        """Return whether the response head has been sent."""
         return self._started
 
     def start(self, status: int, headers: Headers) -> None:
-        """Send the response head; a body without Content-Length goes out chunked."""
+        """Send the response head; without Content-Length, the body is sent chunked."""
         self.start_raw(status, [(k.encode(), v.encode("latin-1", "replace")) for k, v in headers])
 
     def start_raw(self, status: int, headers: RawHeaders) -> None:
-        """Send a response head whose headers are bytes already, as a target sent them."""
+        """Send a response head whose headers are bytes, for example as received from a target."""
         self._started = True
         if self._drain_state.draining:
-            # The client opens its next connection elsewhere instead of reusing one that ends.
+            # The client then opens a connection to another instance for its next request instead
+            # of reusing this one, which is about to be closed.
             headers = [*headers, (b"Connection", b"close")]
         self._send(h11.Response(status_code=status, headers=headers))
 
     def write(self, data: bytes) -> None:
-        """Send part of the body."""
+        """Send a part of the body."""
         if data:
             self._send(h11.Data(data=data))
 
     def is_behind(self) -> bool:
-        """Whether the client reads slower than the body is written."""
-        return self._writer.transport.get_write_buffer_size() > WRITE_HIGH_WATER
+        """Return whether the write buffer is above its high-water mark."""
+        return self._writer.transport.get_write_buffer_size() > WRITE_HIGH_WATER_BYTES
 
     async def drain(self) -> None:
-        """Wait while the client reads slower than the body is written."""
+        """Wait until the write buffer has drained; abort if the client stalls."""
         if not self.is_behind():
             return
         try:
-            async with asyncio.timeout(STALL_TIMEOUT):
+            async with asyncio.timeout(STALL_TIMEOUT_S):
                 await self._writer.drain()
         except TimeoutError:
-            # A client that reads nothing would keep its target's slot for ever.
+            # A client that reads nothing would otherwise hold its slot at the target forever.
             self.abort()
 
     def finish(self) -> None:
-        """End the body, which tells the client that the answer is whole."""
+        """End the body, which marks the response as complete for the client."""
         self._send(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """Drop the connection without ending the body.
+        """Abort the connection without ending the body.
 
-        A client that gets no final chunk knows that the answer is not whole; ending the message
-        instead would pass a truncated answer off as complete.
+        A client that receives no final chunk knows that the response is incomplete; ending the
+        message instead would make a truncated response look complete.
         """
         self.closed.set()
         self._writer.transport.abort()
 
     def abort_after_flush(self) -> None:
-        """Close the connection without ending the body, once what was written has gone out."""
+        """Close the connection without ending the body, once the written data has been sent."""
         self.closed.set()
         self._writer.close()
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole response at once."""
+        """Send a whole response."""
         self.start(status, [*headers, ("Content-Length", str(len(body)))])
         if self.method != "HEAD":
             self.write(body)
         self.finish()
 
     def mark_closed(self) -> None:
-        """Note that the client has gone, and tell whoever works for it."""
+        """Mark the client as disconnected and call `on_closed`."""
         self.closed.set()
         if self.on_closed is not None:
             self.on_closed()
--- a/rhubarbbend/http/_failures.py
+++ b/rhubarbbend/http/_failures.py
@@ -1,7 +1,7 @@
-"""Failures of requests to other systems, each with how far the request had got.
+"""Failures of HTTP requests to other systems, and the stage at which each request failed.
 
-What matters to an instance is not only that a request failed but whether the other side may have
-seen it; `SendStage` on each failure says so and the core turns it into a verdict.
+An instance needs to know whether the peer may have received a failed request. `SendStage` says so,
+and the core derives from it the verdict that the caller gets.
 """
 
 from __future__ import annotations
@@ -9,22 +9,23 @@
 import enum
 from typing import Final
 
-# The reason of a failure by silence; any other sign of the far side has another reason.
+# The reason if the peer did not respond in time. Failures in which the peer showed any other sign,
+# such as a reset, have another reason.
 REASON_TIMEOUT: Final = "timeout"
 REASON_CLOSED: Final = "closed during the body"
 REASON_NO_PROGRESS: Final = "no progress"
 
 
 class SendStage(enum.Enum):
-    """How far a request had got when it failed."""
+    """The stage that a request had reached when it failed."""
 
-    CONNECT = "connect"  # No byte was written: the other side cannot have seen the request.
-    SENT = "sent"  # Bytes were written and no response head came back.
-    RESPONSE = "response"  # The response began and did not end.
+    CONNECT = "connect"  # No byte was written: the peer cannot have received the request.
+    SENT = "sent"  # Bytes were written but no response head was received.
+    RESPONSE = "response"  # The response head was received but the body is incomplete.
 
 
 class HttpFailure(Exception):
-    """A request that did not get a whole response. `stage` tells whether it may have run."""
+    """A request without a complete response; `stage` tells whether the peer may have run it."""
 
     def __init__(self, stage: SendStage, reason: str) -> None:
         super().__init__(f"{stage.value}: {reason}")
--- a/rhubarbbend/http/_pool.py
+++ b/rhubarbbend/http/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections kept for the next request, and small requests that are read whole."""
+"""A pool of idle client connections, and `fetch`, which sends one small request over it."""
 
 from __future__ import annotations
 
@@ -9,39 +9,41 @@
 import msgspec
 
 from rhubarbbend.http._connection import (
-    DEFAULT_CONNECT_TIMEOUT,
+    DEFAULT_CONNECT_TIMEOUT_S,
     Address,
     Connection,
     Response,
 )
 from rhubarbbend.http._failures import REASON_TIMEOUT, HttpFailure, SendStage
 
-# What was learned of an address from a connection that had died is gone by for so long, in seconds:
-# long enough to meet it seldom, short enough to reuse connections again once it is over.
-LEARNED_LIFE: Final = 20.0
-LEARNED_PART: Final = 0.5
+# How long the idle limit learned from a dead connection applies to its address: long enough that
+# requests seldom meet a dead connection, short enough that connections are reused again soon after
+# the fault is over.
+IDLE_LIMIT_LIFETIME_S: Final = 20.0
+# The learned idle limit as a share of the idle time of the dead connection.
+IDLE_LIMIT_FRACTION: Final = 0.5
 
 
-class _RestLimit(msgspec.Struct, frozen=True):
-    """Connections that rested for `seconds` or longer are not used before `until`."""
+class _IdleLimit(msgspec.Struct, frozen=True):
+    """Until `until`, connections that were idle for `seconds` or longer are not used."""
 
     seconds: float
     until: float
 
 
 class ConnectionPool:
-    """Idle connections by address. Invariant: none is kept idle longer than `max_idle` seconds.
+    """Idle connections by address. Invariant: none idle for over `max_idle` seconds is reused.
 
-    Idle connections are short-lived because a connection can go silent for good while new ones
-    work; the shorter it idles, the less likely that a request is the first to find out.
+    `max_idle` should be short: a connection can stop delivering data for good while new ones still
+    work, and the shorter it is idle, the less likely a request is the first to find out.
     """
 
     def __init__(self, max_idle: float, max_per_address: int = 64) -> None:
         self._max_idle = max_idle
         self._max_per_address = max_per_address
         self._idle: dict[Address, deque[Connection]] = {}
-        self._rest_limits: dict[Address, _RestLimit] = {}
-        # Bytes of the small requests sent by `fetch`: reports, probes, platform calls.
+        self._idle_limits: dict[Address, _IdleLimit] = {}
+        # Bytes sent and received by `fetch`: load reports, probes and platform calls.
         self.fetch_traffic = 0
 
     async def take(
@@ -49,12 +51,14 @@
         address: Address,
         now: float,
         fresh: bool,
-        timeout: float = DEFAULT_CONNECT_TIMEOUT,
+        timeout: float = DEFAULT_CONNECT_TIMEOUT_S,
         max_idle: float | None = None,
     ) -> Connection:
-        """Give an idle connection, or a new one if `fresh` is asked or none is idle.
+        """Return an idle connection, or a new one if `fresh` is set or none is usable.
 
-        With `max_idle` only one that has idled for no longer; the others stay for other requests.
+        With `max_idle`, use only a connection that was idle for at most that many seconds; the
+        others stay in the pool for other requests. `now` is in the event loop's time. Raise
+        `HttpFailure` if a new connection is not established within `timeout` seconds.
         """
         idle = self._idle.get(address)
         while idle and not fresh:
@@ -69,36 +73,41 @@
         return await Connection.open(address, timeout)
 
     def _is_usable(self, connection: Connection, now: float) -> bool:
-        idle = now - connection.idle_since
+        idle_time = now - connection.idle_since
         limit = connection.idle_limit
-        if idle > self._max_idle or (limit is not None and idle > limit):
+        if idle_time > self._max_idle or (limit is not None and idle_time > limit):
             return False
-        if not self.may_rest(connection.address, idle, now):
+        if not self.is_idle_time_safe(connection.address, idle_time, now):
             return False
         return not connection.closed and not connection.has_stray_bytes
 
-    def may_rest(self, address: Address, seconds: float, now: float) -> bool:
-        """Whether a connection to an address that rested for so long is probably still good."""
-        limit = self._rest_limits.get(address)
-        return limit is None or now >= limit.until or seconds < limit.seconds
+    def is_idle_time_safe(self, address: Address, idle_time: float, now: float) -> bool:
+        """Return whether a connection to `address` idle for `idle_time` seconds probably works."""
+        limit = self._idle_limits.get(address)
+        return limit is None or now >= limit.until or idle_time < limit.seconds
 
-    def note_dead(self, address: Address, rested: float, now: float) -> None:
-        """Learn that a connection was found dead after it had rested for some seconds.
+    def note_dead(self, address: Address, idle_time: float, now: float) -> None:
+        """Record that a connection to `address` was dead after `idle_time` seconds idle.
 
-        The other side, or something between, forgets idle connections sooner than it says, and
-        every request on one of them would be broken off. How much sooner is not known: half of the
-        rest finds it out within a few requests.
+        The peer, or a middlebox, drops idle connections earlier than it states, and every request
+        on such a connection would fail. How much earlier is unknown; halving the idle time on each
+        dead connection finds a safe limit within a few requests.
         """
-        if self.may_rest(address, rested, now):
-            self._rest_limits[address] = _RestLimit(LEARNED_PART * rested, now + LEARNED_LIFE)
+        if self.is_idle_time_safe(address, idle_time, now):
+            self._idle_limits[address] = _IdleLimit(
+                IDLE_LIMIT_FRACTION * idle_time, now + IDLE_LIMIT_LIFETIME_S
+            )
 
     def drop_all(self) -> None:
-        """Close every idle connection: this process may have been away while they broke."""
+        """Close every idle connection.
+
+        Used after this process was suspended: the connections may have died meanwhile.
+        """
         for address in list(self._idle):
             self.drop_address(address)
 
     def give_back(self, connection: Connection, now: float) -> None:
-        """Keep a connection for the next request if it can carry one."""
+        """Return a connection to the pool; close it if it cannot be reused or the pool is full."""
         idle = self._idle.get(connection.address, ())
         if len(idle) < self._max_per_address and connection.make_reusable():
             connection.idle_since = now
@@ -107,22 +116,22 @@
             connection.close()
 
     def lay(self, connection: Connection) -> None:
-        """Keep a connection that can carry a request, idle since its `idle_since`."""
+        """Add a reusable connection to the pool, idle since its `idle_since`."""
         self._idle.setdefault(connection.address, deque()).append(connection)
 
     def drop_expired(self, now: float) -> None:
-        """Close connections that have idled too long."""
+        """Close connections that were idle too long or are closed, and expire learned limits."""
         for address in list(self._idle):
             idle = self._idle[address]
             while idle and (now - idle[0].idle_since > self._max_idle or idle[0].closed):
                 idle.popleft().close()
             if not idle:
                 del self._idle[address]
-        for address in [a for a, limit in self._rest_limits.items() if now >= limit.until]:
-            del self._rest_limits[address]
+        for address in [a for a, limit in self._idle_limits.items() if now >= limit.until]:
+            del self._idle_limits[address]
 
     def drop_address(self, address: Address) -> None:
-        """Close every idle connection to an address that has shown a fault."""
+        """Close every idle connection to an address at which a fault was detected."""
         for connection in self._idle.pop(address, ()):
             connection.close()
 
@@ -139,19 +148,20 @@
     fresh: bool = False,
     stall: float | None = None,
 ) -> tuple[Response, bytes]:
-    """Send one small request and read its whole response within `timeout` seconds.
+    """Send one small request and return the head and the whole body of its response.
 
-    With `stall` the response has to begin within `timeout`, and then it may take as long as parts
-    of it come within `stall` seconds of one another: a large one over a narrow link.
+    The response must be complete within `timeout` seconds. With `stall`, only its head must arrive
+    within `timeout`, and then each part of its body within `stall` seconds of the one before,
+    which allows for a large response over a slow link. Raise `HttpFailure` on failure.
     """
     connection = await pool.take(address, now, fresh)
-    before = connection.traffic
+    traffic_before = connection.traffic
     try:
-        async with asyncio.timeout(timeout) as limit:
+        async with asyncio.timeout(timeout) as total_timeout:
             await connection.send(method, target, headers or [], body)
             response = await connection.receive_head(timeout)
             if stall is not None:
-                limit.reschedule(None)
+                total_timeout.reschedule(None)
             parts = [part async for part in connection.receive_body(stall or timeout)]
     except TimeoutError as error:
         connection.close()
@@ -160,6 +170,6 @@
         connection.close()
         raise
     finally:
-        pool.fetch_traffic += connection.traffic - before
+        pool.fetch_traffic += connection.traffic - traffic_before
     pool.give_back(connection, now)
     return response, b"".join(parts)
--- a/rhubarbbend/http/_protocol.py
+++ b/rhubarbbend/http/_protocol.py
@@ -1,8 +1,8 @@
-"""The asyncio protocol under a client connection.
+"""The asyncio protocol of a client connection, with two ways to receive data.
 
-A relayed stream is the largest cost of an instance. Handing each part of it to a waiting task
-costs a second turn of the event loop and a timer; this protocol gives parts to a plain function
-in the turn that received them instead.
+Relaying streams is the largest cost of an instance. Passing each received part to a waiting task
+costs a second event loop iteration and a timer; for a relayed body, this protocol therefore calls
+a plain function, the sink, in the iteration that received the part.
 """
 
 from __future__ import annotations
@@ -12,81 +12,85 @@
 from collections.abc import Awaitable, Callable
 from typing import Final, cast
 
-# Bytes that may wait unread before the other side is held back.
-READ_LIMIT: Final = 262_144
-# Keep-alive probes: the first after so many idle seconds, then one each interval, so that three
-# unanswered ones end a dead connection within 3 s.
-KEEPALIVE_IDLE: Final = 1
-KEEPALIVE_INTERVAL: Final = 1
+# Above this many unread bytes, reading from the socket is paused (backpressure).
+READ_HIGH_WATER_BYTES: Final = 262_144
+# TCP keep-alive: the first probe after KEEPALIVE_IDLE_S idle seconds, then one every
+# KEEPALIVE_INTERVAL_S. After KEEPALIVE_PROBES unanswered probes the connection ends, so a dead
+# connection is detected within 3 s.
+KEEPALIVE_IDLE_S: Final = 1
+KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
-# Written bytes that are not acknowledged for so many milliseconds end the connection.
-USER_TIMEOUT_MS: Final = 2_500
+# A connection ends if written bytes are not acknowledged for this long.
+TCP_USER_TIMEOUT_MS: Final = 2_500
 
 Sink = Callable[[bytes], None]
 
 
 def set_keepalive(sock: socket.socket | None) -> None:
-    """Have the system notice a connection whose other side does not answer any more.
+    """Enable TCP keep-alive, so that the kernel detects a peer that no longer responds.
 
-    A connection can go silent for good while new ones work. Without probes a long poll on it
-    waits for its whole time and misses what is in force meanwhile.
+    A connection can stop delivering data for good while new ones still work. Without probes, a
+    long poll on it lasts for its whole time-out and misses the changes made meanwhile.
     """
     if sock is None:
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 class ClientProtocol(asyncio.Protocol):
-    """Received bytes, read by a task or given to a sink. Invariant: never both at once."""
+    """Received data, read by a task or passed to a sink. Invariant: never both at once."""
 
     def __init__(self) -> None:
         self.eof = False
         self.error: Exception | None = None
         self.last_received = 0.0
-        # The longest time between two parts that a sink was given.
+        # The longest time between two parts passed to a sink, in seconds.
         self.longest_pause = 0.0
         self.traffic = 0
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self._waiter: asyncio.Future[None] | None = None
+        self._read_waiter: asyncio.Future[None] | None = None
         self._sink: Sink | None = None
-        self._writable: asyncio.Future[None] | None = None
-        self._paused = False
+        self._write_waiter: asyncio.Future[None] | None = None
+        self._reading_paused = False
 
     @property
     def transport(self) -> asyncio.Transport:
-        """The transport of an open connection."""
+        """Return the transport of an open connection."""
         assert self._transport is not None
         return self._transport
 
     @property
     def closed(self) -> bool:
-        """Whether nothing more can come."""
+        """Return whether no more data can be received."""
         return self.eof or self._transport is None or self._transport.is_closing()
 
     @property
     def unread(self) -> int:
-        """How many received bytes nobody has read yet."""
+        """Return the number of received bytes that are not read yet."""
         return len(self._buffer)
 
     @property
     def unsent(self) -> int:
-        """How many written bytes have not left this process yet."""
+        """Return the number of written bytes that are still in the write buffer."""
         return self.transport.get_write_buffer_size()
 
     async def read(self) -> bytes:
-        """Read what has come, waiting for something; empty at the end of the stream."""
+        """Return the received data, waiting for some if there is none.
+
+        Empty at the end of the stream; raise the connection's error if it ended with one.
+        """
         while not self._buffer and not self.eof:
-            self._waiter = self._loop.create_future()
+            self._read_waiter = self._loop.create_future()
             try:
-                await self._waiter
+                await self._read_waiter
             finally:
-                self._waiter = None
+                self._read_waiter = None
         if not self._buffer and self.error is not None:
             raise self.error
         data = bytes(self._buffer)
@@ -95,7 +99,7 @@
         return data
 
     def set_sink(self, sink: Sink | None) -> None:
-        """Give parts to a function from now on, first what waits unread; None: stop that.
+        """Pass received data, including what is still unread, to a function; None stops that.
 
         The sink is called with empty bytes at the end of the stream.
         """
@@ -111,75 +115,75 @@
             sink(b"")
 
     def pause_reading(self) -> None:
-        """Hold the other side back."""
-        if not self._paused and not self.closed:
-            self._paused = True
+        """Stop reading from the socket, so that the peer has to stop sending."""
+        if not self._reading_paused and not self.closed:
+            self._reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Let the other side go on."""
-        if self._paused and not self.closed:
-            self._paused = False
+        """Continue to read from the socket."""
+        if self._reading_paused and not self.closed:
+            self._reading_paused = False
             self.transport.resume_reading()
 
     async def drain(self) -> None:
-        """Wait until the transport takes more to write."""
-        if self._writable is not None:
-            await cast(Awaitable[None], self._writable)
+        """Wait until the transport accepts more data; raise the connection's error, if any."""
+        if self._write_waiter is not None:
+            await cast(Awaitable[None], self._write_waiter)
         if self.error is not None:
             raise self.error
 
-    # The asyncio.Protocol interface.
+    # Methods of asyncio.Protocol.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and enable TCP keep-alive."""
         self._transport = cast(asyncio.Transport, transport)
         self.last_received = self._loop.time()
         set_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Give a part to the sink, or keep it for the reader."""
+        """Pass data to the sink, or buffer it for the reader."""
         self.traffic += len(data)
-        before, self.last_received = self.last_received, self._loop.time()
+        previous, self.last_received = self.last_received, self._loop.time()
         if self._sink is not None:
-            self.longest_pause = max(self.longest_pause, self.last_received - before)
+            self.longest_pause = max(self.longest_pause, self.last_received - previous)
             self._sink(data)
             return
         self._buffer += data
-        if len(self._buffer) > READ_LIMIT:
+        if len(self._buffer) > READ_HIGH_WATER_BYTES:
             self.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note the end of the stream; the transport then closes."""
-        self._end(None)
+        """Record the end of the stream; the transport then closes."""
+        self._handle_end(None)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection."""
-        self._end(exc)
-        if self._writable is not None and not self._writable.done():
-            self._writable.set_result(None)
+        """Record the end of the connection and wake its readers and writers."""
+        self._handle_end(exc)
+        if self._write_waiter is not None and not self._write_waiter.done():
+            self._write_waiter.set_result(None)
 
     def pause_writing(self) -> None:
-        """Make `drain` wait."""
-        self._writable = self._loop.create_future()
+        """Make `drain` wait, because the write buffer is full."""
+        self._write_waiter = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Let `drain` go on."""
-        if self._writable is not None and not self._writable.done():
-            self._writable.set_result(None)
-        self._writable = None
+        """Let `drain` continue."""
+        if self._write_waiter is not None and not self._write_waiter.done():
+            self._write_waiter.set_result(None)
+        self._write_waiter = None
 
-    def _end(self, error: Exception | None) -> None:
+    def _handle_end(self, error: Exception | None) -> None:
         if self.eof:
             return
         self.eof = True
         self.error = error
         if self._sink is not None:
             self._sink(b"")
-        self._wake()
+        self._wake_reader()
 
-    def _wake(self) -> None:
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
+    def _wake_reader(self) -> None:
+        if self._read_waiter is not None and not self._read_waiter.done():
+            self._read_waiter.set_result(None)
--- a/rhubarbbend/http/_pump.py
+++ b/rhubarbbend/http/_pump.py
@@ -1,4 +1,4 @@
-"""Moves the body of a response to whoever relays it, in the loop's turn that received each part."""
+"""Forwards a response body to a relay, each part in the event loop iteration that received it."""
 
 from __future__ import annotations
 
@@ -16,51 +16,54 @@
 )
 from rhubarbbend.http._protocol import ClientProtocol
 
-# A body is looked at again after this many seconds at the earliest.
-MIN_WATCH: Final = 0.05
+# The shortest interval between two checks of whether a body makes progress.
+MIN_CHECK_INTERVAL_S: Final = 0.05
 
 
 class BodyRelay(abc.ABC):
-    """Takes a body part by part.
+    """Receives a body part by part and passes it on.
 
-    Hooks: `write` is called for each part and must not wait; while `is_behind` says that its own
-    side is slow, the body is held back until `drain` has returned.
+    Hooks: `write` is called for each part and must not block. If `is_behind` returns True, reading
+    the body is paused until `drain` has returned.
     """
 
     @abc.abstractmethod
     def write(self, data: bytes) -> None:
-        """Take a part."""
+        """Accept a part of the body."""
 
     @abc.abstractmethod
     def is_behind(self) -> bool:
-        """Whether too much of what was taken has not gone out yet."""
+        """Return whether too much accepted data is not sent yet."""
 
     @abc.abstractmethod
     async def drain(self) -> None:
-        """Wait until it has."""
+        """Wait until enough of the accepted data is sent."""
 
 
 class BodyPatience(abc.ABC):
-    """Decides how long a body may make no progress."""
+    """Decides how long to wait for a body that makes no progress."""
 
     @abc.abstractmethod
     def extend(self, silence: float) -> float:
-        """Give for how many seconds more to wait after so many of silence; 0: not any longer."""
+        """Return how many more seconds to wait after `silence` seconds without data.
 
+        The body fails if the result is 0 or negative.
+        """
 
-class FixedPatience(BodyPatience):
-    """Waits for a fixed time."""
+
+class FixedTimeoutPolicy(BodyPatience):
+    """Allows a fixed time without progress, in seconds."""
 
     def __init__(self, limit: float) -> None:
         self._limit = limit
 
     def extend(self, silence: float) -> float:
-        """Give what is left of it."""
+        """Return the rest of the fixed time."""
         return self._limit - silence
 
 
-class BodyPump:
-    """Moves one body from a protocol to a relay. Invariant: `ended` is settled exactly once."""
+class BodyForwarder:
+    """Forwards a body from a protocol to a relay. Invariant: `ended` is completed at most once."""
 
     def __init__(
         self,
@@ -68,34 +71,34 @@
         protocol: ClientProtocol,
         relay: BodyRelay,
         ended: asyncio.Future[None],
-        patience: BodyPatience,
+        timeout_policy: BodyPatience,
     ) -> None:
         self._conn = conn
         self._protocol = protocol
         self._relay = relay
         self._ended = ended
-        self._patience = patience
+        self._timeout_policy = timeout_policy
         self._loop = ended.get_loop()
-        self._timer: asyncio.TimerHandle | None = None
-        self._holding: asyncio.Task[None] | None = None
+        self._progress_timer: asyncio.TimerHandle | None = None
+        self._drain_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Move what the connection has received already, then each part as it comes."""
+        """Forward the data received so far, then each part as it arrives."""
         self._protocol.last_received = self._loop.time()
         self._check_progress()
         self._parse()
         self._protocol.set_sink(self.receive)
 
     def stop(self) -> None:
-        """Leave the connection to its next reader."""
+        """Stop forwarding and leave the connection to its next reader."""
         self._protocol.set_sink(None)
-        if self._timer is not None:
-            self._timer.cancel()
-        if self._holding is not None:
-            self._holding.cancel()
+        if self._progress_timer is not None:
+            self._progress_timer.cancel()
+        if self._drain_task is not None:
+            self._drain_task.cancel()
 
     def receive(self, data: bytes) -> None:
-        """Take received bytes; empty at the end of the stream."""
+        """Parse received bytes; empty at the end of the stream."""
         if self._ended.done():
             return
         try:
@@ -119,29 +122,34 @@
                     self._fail(REASON_CLOSED)
         except h11.RemoteProtocolError as error:
             self._fail(str(error))
-        if self._holding is None and not self._ended.done() and self._relay.is_behind():
-            self._holding = self._loop.create_task(self._hold_back())
+        if self._drain_task is None and not self._ended.done() and self._relay.is_behind():
+            self._drain_task = self._loop.create_task(self._apply_backpressure())
+
+    async def _apply_backpressure(self) -> None:
+        """Pause reading until the relay has drained (backpressure).
 
-    async def _hold_back(self) -> None:
-        """Let a slow receiver hold the sender back, in place of the memory of the instance."""
+        Without it, the data for a slow receiver would fill the memory of the instance.
+        """
         self._protocol.pause_reading()
         try:
             await self._relay.drain()
         except OSError:
-            # The receiver has gone; whoever watches it ends the request.
+            # The receiver has disconnected; the code that watches it ends the request.
             return
         finally:
-            self._holding = None
+            self._drain_task = None
         self._protocol.last_received = self._loop.time()
         self._protocol.resume_reading()
 
     def _check_progress(self) -> None:
-        """End a body that makes no progress, unless it is being held back."""
-        more = self._patience.extend(self._loop.time() - self._protocol.last_received)
-        if self._holding is None and more <= 0.0:
+        """Fail a body that makes no progress, unless reading it is paused."""
+        remaining = self._timeout_policy.extend(self._loop.time() - self._protocol.last_received)
+        if self._drain_task is None and remaining <= 0.0:
             self._fail(REASON_NO_PROGRESS)
             return
-        self._timer = self._loop.call_later(max(more, MIN_WATCH), self._check_progress)
+        self._progress_timer = self._loop.call_later(
+            max(remaining, MIN_CHECK_INTERVAL_S), self._check_progress
+        )
 
     def _fail(self, reason: str) -> None:
         if not self._ended.done():
--- a/rhubarbbend/http/_rejection.py
+++ b/rhubarbbend/http/_rejection.py
@@ -1,4 +1,4 @@
-"""Requests that cannot be read: what is wrong with them, and the answer that says so."""
+"""Requests that cannot be parsed or exceed a limit, and the error response to them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 import h11
 import msgspec
 
-READ_SIZE: Final = 65_536
-# What a rejected client still sends is read and dropped within these bounds.
-REJECT_SECONDS: Final = 1.0
-REJECT_BYTES: Final = 8 * 1024 * 1024
+READ_SIZE_BYTES: Final = 65_536
+# Bounds on reading and discarding what a rejected client still sends.
+DISCARD_TIMEOUT_S: Final = 1.0
+MAX_DISCARD_BYTES: Final = 8 * 1024 * 1024
 
 
 class RequestRejected(Exception):
-    """A request that cannot be read; carries the status to answer with."""
+    """A request that is not accepted, with the status of the response to it."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -30,11 +30,15 @@
     writer: asyncio.StreamWriter,
     rejected: RequestRejected,
 ) -> None:
-    """Answer an unreadable request in the shape of every other error, then close."""
+    """Send the error response to a rejected request and end the sending side of the connection.
+
+    The body has the format of all other error responses. No response is sent if one was already
+    started on the connection.
+    """
     error = {"code": "bad_request", "message": rejected.reason, "verdict": "not_run"}
     body = msgspec.json.encode({"error": error})
     if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-        head = h11.Response(
+        response_head = h11.Response(
             status_code=rejected.status,
             headers=[
                 (b"Content-Type", b"application/json"),
@@ -42,24 +46,26 @@
                 (b"Connection", b"close"),
             ],
         )
-        for event in (head, h11.Data(data=body), h11.EndOfMessage()):
+        for event in (response_head, h11.Data(data=body), h11.EndOfMessage()):
             writer.write(conn.send(event) or b"")
         await writer.drain()
-        await _drop_rest(reader, writer)
+        await _discard_remaining_input(reader, writer)
 
 
-async def _drop_rest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Read and drop what the client still sends, for a short while.
+async def _discard_remaining_input(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
+    """Read and discard what the client still sends, within a time and size limit.
 
-    Closing with bytes unread resets the connection, and the client may lose the answer that says
-    what was wrong with its request.
+    Closing a socket with unread bytes resets the connection, and the client may then lose the
+    response that says what was wrong with its request.
     """
     writer.write_eof()
-    dropped = 0
+    discarded_bytes = 0
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(REJECT_SECONDS):
-            while dropped < REJECT_BYTES:
-                data = await reader.read(READ_SIZE)
+        async with asyncio.timeout(DISCARD_TIMEOUT_S):
+            while discarded_bytes < MAX_DISCARD_BYTES:
+                data = await reader.read(READ_SIZE_BYTES)
                 if not data:
                     return
-                dropped += len(data)
+                discarded_bytes += len(data)
--- a/rhubarbbend/http/_server.py
+++ b/rhubarbbend/http/_server.py
@@ -1,7 +1,7 @@
-"""The HTTP/1.1 server: reads one request at a time from a connection and hands it to a handler.
+"""The HTTP/1.1 server, which reads one request at a time per connection and calls a handler.
 
-It bounds what a client can cost: header and body size, the time a client may take to send them,
-and the number of connections. The handler answers through an `Exchange`.
+It limits the resources that clients can use: the sizes of headers and bodies, the time to send
+them, and the number of connections. The handler responds through an `Exchange`.
 """
 
 from __future__ import annotations
@@ -16,26 +16,28 @@
 import msgspec
 
 from rhubarbbend.http._exchange import DrainState, Exchange
-from rhubarbbend.http._rejection import READ_SIZE, RequestRejected, reject_request
+from rhubarbbend.http._rejection import READ_SIZE_BYTES, RequestRejected, reject_request
 
-# How long idle connections stay open once the server stops accepting: a request may be on its way.
-LINGER: Final = 0.5
-# A client that takes no byte of its answer for this long is given up when the server closes.
-FLUSH_TIMEOUT: Final = 10.0
-FLUSH_POLL: Final = 0.02
+# How long idle connections stay open after the server has stopped accepting: a request may already
+# be on its way.
+IDLE_CLOSE_DELAY_S: Final = 0.5
+# A connection is aborted if its client accepts no byte of its response for this long while the
+# server flushes it.
+FLUSH_TIMEOUT_S: Final = 10.0
+FLUSH_POLL_INTERVAL_S: Final = 0.02
 
-# Connections that the system keeps until they are accepted.
-BACKLOG: Final = 1024
+# Maximum number of connections that the kernel queues until they are accepted.
+LISTEN_BACKLOG: Final = 1024
 
 Handler = Callable[["Exchange"], Awaitable[None]]
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what one client connection may cost; sizes in bytes, times in seconds."""
+    """Limits on the resources that clients may use; sizes in bytes, times in seconds."""
 
     max_header_bytes: int = 32_768
     max_body_bytes: int = 4 * 1024 * 1024
-    # Over all connections: many bodies at once, each within its bound, could use up the memory.
+    # Total over all connections: many bodies, each within its own limit, could exhaust the memory.
     max_held_bytes: int = 256 * 1024 * 1024
     head_timeout: float = 10.0
     body_timeout: float = 30.0
@@ -44,7 +46,7 @@
 
 
 class HttpServer:
-    """Listens on one address. Invariant: every open connection has one task in `_tasks`."""
+    """An HTTP server on one address. Invariant: each open connection has one task in `_tasks`."""
 
     def __init__(self, handler: Handler, limits: ServerLimits | None = None) -> None:
         self._handler = handler
@@ -54,30 +56,32 @@
         self._busy: set[asyncio.Task[None]] = set()
         self._stopping = False
         self._drain_state = DrainState()
-        self._held_bytes = 0
+        self._buffered_body_bytes = 0
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Bound clients by these limits from the next request on."""
+        """Replace the limits; they apply from the next request on."""
         self._limits = limits
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to accept connections; returns the port in use."""
-        self._server = await asyncio.start_server(self._accept, host, port, backlog=BACKLOG)
+        """Start to accept connections on `host` and `port`; return the port in use."""
+        self._server = await asyncio.start_server(self._accept, host, port, backlog=LISTEN_BACKLOG)
         return int(self._server.sockets[0].getsockname()[1])
 
     async def listen_on(self, listener: socket) -> None:
-        """Start to accept connections of a socket that listens already."""
-        self._server = await asyncio.start_server(self._accept, sock=listener, backlog=BACKLOG)
+        """Start to accept connections on a socket that is already listening."""
+        self._server = await asyncio.start_server(
+            self._accept, sock=listener, backlog=LISTEN_BACKLOG
+        )
 
     def announce_stop(self) -> None:
-        """Tell clients with each answer that their connection will not be used again."""
+        """Send `Connection: close` in each response head from now on."""
         self._drain_state.draining = True
 
     def stop_accepting(self) -> None:
-        """Close the listening socket, and idle connections a little later.
+        """Close the listening socket, and idle connections after a short delay.
 
-        Requests in flight go on. One that was sent on an idle connection before its client could
-        know of the stop is still read and answered; closing at once would cut it.
+        Requests in flight continue. A request sent on an idle connection before its client could
+        learn of the stop is still served; closing the connection at once would break it off.
         """
         self.announce_stop()
         if self._stopping:
@@ -85,17 +89,17 @@
         self._stopping = True
         if self._server is not None:
             self._server.close()
-            asyncio.get_running_loop().call_later(LINGER, self._close_idle)
+            asyncio.get_running_loop().call_later(IDLE_CLOSE_DELAY_S, self._close_idle)
 
     def _close_idle(self) -> None:
         for task in self._tasks - self._busy:
             task.cancel()
 
     async def finish(self) -> None:
-        """Stop accepting, and wait until every answer has gone out."""
+        """Stop accepting and wait until every response is sent."""
         self.stop_accepting()
         while self._tasks:
-            await asyncio.wait(list(self._tasks), timeout=LINGER)
+            await asyncio.wait(list(self._tasks), timeout=IDLE_CLOSE_DELAY_S)
             self._close_idle()
 
     async def close(self) -> None:
@@ -139,15 +143,15 @@
                 await reject_request(conn, reader, writer, rejected)
                 return
             except TimeoutError:
-                late = RequestRejected(408, "request took too long to send")
-                await reject_request(conn, reader, writer, late)
+                timed_out = RequestRejected(408, "request took too long to send")
+                await reject_request(conn, reader, writer, timed_out)
                 return
             exchange = Exchange(head, body, conn, writer, self._drain_state)
-            self._held_bytes += len(body)
+            self._buffered_body_bytes += len(body)
             try:
                 await self._run_handler(exchange, conn, reader)
             finally:
-                self._held_bytes -= len(body)
+                self._buffered_body_bytes -= len(body)
             if not await self._prepare_next(conn, writer):
                 return
             self._busy.discard(task)
@@ -155,10 +159,10 @@
     async def _read_head(
         self, task: asyncio.Task[None], conn: h11.Connection, reader: asyncio.StreamReader
     ) -> h11.Request | None:
-        """Read a request's head; None if the client sends none.
+        """Return the head of the next request, or None if the client sends none.
 
-        The time-out is on the whole head: a client that sends a byte now and then would otherwise
-        hold its connection for as long as it likes.
+        The time-out applies to the whole head: otherwise a client that sends a byte now and then
+        could hold its connection for any length of time.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._limits.idle_timeout
@@ -176,12 +180,12 @@
                 deadline = loop.time() + self._limits.head_timeout
             try:
                 async with asyncio.timeout_at(deadline):
-                    data = await reader.read(READ_SIZE)
+                    data = await reader.read(READ_SIZE_BYTES)
             except TimeoutError:
                 if begun:
                     raise
                 return None
-            # From its first byte on a request is in flight.
+            # A request is in flight from its first byte on.
             self._busy.add(task)
             conn.receive_data(data)
 
@@ -199,15 +203,15 @@
                 size += len(event.data)
                 if size > self._limits.max_body_bytes:
                     raise RequestRejected(413, "body too large")
-                if self._held_bytes + size > self._limits.max_held_bytes:
+                if self._buffered_body_bytes + size > self._limits.max_held_bytes:
                     raise RequestRejected(503, "too many bytes of requests are held")
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
             elif event is h11.NEED_DATA:
-                conn.receive_data(await reader.read(READ_SIZE))
+                conn.receive_data(await reader.read(READ_SIZE_BYTES))
             else:
-                raise ConnectionResetError("client closed during the body")
+                raise ConnectionResetError("client closed the connection during the body")
 
     async def _run_handler(
         self, exchange: Exchange, conn: h11.Connection, reader: asyncio.StreamReader
@@ -231,44 +235,48 @@
 
 
 async def _flush(writer: asyncio.StreamWriter) -> None:
-    """Wait until what was written has gone out.
+    """Wait until the write buffer is empty; abort the connection if the client stalls.
 
-    The loop ends with the process, and what a slow client has not yet taken would be lost: its
-    answer would be cut although the server had finished it. A client that takes nothing for long
-    is gone without a sign; waiting for it would hold its slot, and a planned stop, for ever.
+    When the process ends, data that a slow client has not received yet would be lost, and its
+    response truncated although the handler had finished it. A client that receives nothing for
+    `FLUSH_TIMEOUT_S` is probably dead; waiting longer would hold its slot, and block a planned
+    stop, forever.
     """
     transport = writer.transport
-    left = transport.get_write_buffer_size()
-    waited = 0.0
-    while left and waited < FLUSH_TIMEOUT:
-        await asyncio.sleep(FLUSH_POLL)
+    unsent_bytes = transport.get_write_buffer_size()
+    stalled_s = 0.0
+    while unsent_bytes and stalled_s < FLUSH_TIMEOUT_S:
+        await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
         size = transport.get_write_buffer_size()
-        waited = 0.0 if size < left else waited + FLUSH_POLL
-        left = size
-    if left:
+        stalled_s = 0.0 if size < unsent_bytes else stalled_s + FLUSH_POLL_INTERVAL_S
+        unsent_bytes = size
+    if unsent_bytes:
         transport.abort()
 
 
 async def _watch_client(
     exchange: Exchange, conn: h11.Connection, reader: asyncio.StreamReader
 ) -> None:
-    """Notice a client that goes away while its request runs; keep bytes it sends early."""
+    """Detect a client that disconnects while its request runs; buffer data that it sends early.
+
+    A client that sends more than `READ_SIZE_BYTES` early is disconnected.
+    """
     while True:
-        data = await reader.read(READ_SIZE)
+        data = await reader.read(READ_SIZE_BYTES)
         if not data:
             exchange.mark_closed()
             return
         conn.receive_data(data)
-        if len(conn.trailing_data[0]) > READ_SIZE:
+        if len(conn.trailing_data[0]) > READ_SIZE_BYTES:
             exchange.abort()
             return
 
 
 def _check_framing(request: h11.Request) -> None:
-    """Refuse a request that tells the length of its body in two ways.
+    """Reject a request that states the length of its body in two ways (request smuggling).
 
-    Something before this server may have gone by the other one; what it took for the body would
-    be read here as a second request, which nobody sent.
+    A proxy in front of this server may use the other one; part of what it forwarded as the body
+    would then be read here as a second request that no client sent.
     """
     names = [name for name, _ in request.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
--- a/rhubarbbend/storage/__init__.py
+++ b/rhubarbbend/storage/__init__.py
@@ -1,7 +1,7 @@
-"""The platform's services as an instance uses them: tables, objects and the list of instances.
+"""Clients of the platform's services: tables, objects and the list of instances.
 
-The names of the client registry load on first use, since an instance that follows a `RowStore`
-needs neither that client nor the messages of the core behind it.
+The names of the client registry are imported on first use, because an instance that uses a
+`RowStore` needs neither the platform clients nor the core modules that they import.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     "StoreError",
 ]
 
-_LAZY: Final = ("PLATFORMS", "PlatformClient", "PlatformError")
+_LAZY_NAMES: Final = ("PLATFORMS", "PlatformClient", "PlatformError")
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _LAZY:
+    if name not in _LAZY_NAMES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    # Registers the HTTP client, which the registry would otherwise not know.
+    # Importing the HTTP client registers it; without this, the registry would be empty.
     importlib.import_module("rhubarbbend.storage._http")
     return getattr(importlib.import_module("rhubarbbend.storage._base"), name)
--- a/rhubarbbend/storage/_base.py
+++ b/rhubarbbend/storage/_base.py
@@ -1,4 +1,4 @@
-"""The interface of platform clients."""
+"""The interface of platform clients, and the registry of its implementations."""
 
 from __future__ import annotations
 
@@ -12,40 +12,43 @@
 
 
 class PlatformError(Exception):
-    """A platform call that failed; a write may have taken effect all the same."""
+    """A platform call that failed; a write may have taken effect nevertheless."""
 
 
 class PlatformClient(abc.ABC):
-    """Reaches the platform. Every method raises `PlatformError` when it gets no answer.
+    """Calls the platform. Every method raises `PlatformError` if it gets no valid response.
 
-    Hooks: one object serves an instance for its life; methods may be called while others are
-    under way. A client never repeats a write by itself, because the core decides that.
+    Hooks: an instance uses one object for its whole life, and calls may run concurrently. A client
+    never retries a write by itself, because the core decides on retries. `timeout` is in seconds.
     """
 
     def __init__(self, address: tuple[str, int], timeout: float, zone: str) -> None:
         self.address = address
         self.timeout = timeout
         self.zone = zone
-        # Bytes both ways, as they pass the sockets.
+        # Bytes sent and received on the sockets.
         self.traffic = 0
 
     @abc.abstractmethod
     async def write_rows(
         self, writes: Sequence[Write], atomic: bool
     ) -> tuple[list[bool], list[Row | None]]:
-        """Run conditional writes in one transaction; give what applied and the rows now there."""
+        """Run conditional writes in one transaction.
+
+        Return, for each write, whether it was applied and the row that is stored now.
+        """
 
     @abc.abstractmethod
     async def read_row(self, table: str, key: str) -> Row | None:
-        """Read one row."""
+        """Return a row, or None if there is none."""
 
     @abc.abstractmethod
     async def scan_rows(self, table: str, after: str, limit: int) -> list[Row]:
-        """Read rows in key order after a key."""
+        """Return at most `limit` rows in key order, starting after the key `after`."""
 
     @abc.abstractmethod
     async def read_object(self, name: str) -> bytes:
-        """Read an object; empty if there is none."""
+        """Return the content of an object; empty if it does not exist."""
 
     @abc.abstractmethod
     async def write_object(self, name: str, data: bytes) -> None:
@@ -53,10 +56,10 @@
 
     @abc.abstractmethod
     async def read_list(self) -> list[Listed]:
-        """Read the list of instances and targets, with addresses as seen from the own zone."""
+        """Return the instances and targets, with their addresses as seen from the own zone."""
 
     def drop_idle(self, now: float) -> None:  # noqa: B027  (optional hook)
-        """Close connections that have idled too long."""
+        """Close connections that were idle too long."""
 
 
 PLATFORMS: Final[Registry[PlatformClient]] = Registry("platform client")
--- a/rhubarbbend/storage/_http.py
+++ b/rhubarbbend/storage/_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP and JSON, as `standins/platform.py` speaks it."""
+"""A platform client over HTTP and JSON, the protocol that `standins/platform.py` implements."""
 
 from __future__ import annotations
 
@@ -15,65 +15,71 @@
 from rhubarbbend.storage._base import PLATFORMS, PlatformClient, PlatformError
 
 T = TypeVar("T")
-MAX_IDLE = 3.0
+# How long a connection to the platform is kept idle for reuse.
+MAX_IDLE_S = 3.0
 
 
-class WriteAnswer(msgspec.Struct):
-    """Answer to a transaction."""
+class WriteResponse(msgspec.Struct):
+    """The response to a transaction."""
 
     applied: list[bool]
     rows: list[Row | None]
 
 
-class RowsAnswer(msgspec.Struct):
-    """Answer to a scan."""
+class RowsResponse(msgspec.Struct):
+    """The response to a scan."""
 
     rows: list[Row]
 
 
-class RowAnswer(msgspec.Struct):
-    """Answer to a read of one row."""
+class RowResponse(msgspec.Struct):
+    """The response to a read of one row."""
 
     row: Row | None
 
 
-class ListAnswer(msgspec.Struct):
-    """Answer to a read of the list."""
+class ListResponse(msgspec.Struct):
+    """The response to a read of the list of instances and targets."""
 
     entries: list[Listed]
 
 
 @PLATFORMS.register("http")
 class HttpPlatform(PlatformClient):
-    """Speaks HTTP to the platform; a silent connection costs one time-out and is not used again."""
+    """Calls the platform over HTTP.
+
+    A dead connection costs one time-out: after a failed call, the next call opens a new connection.
+    """
 
     def __init__(self, address: tuple[str, int], timeout: float, zone: str) -> None:
         super().__init__(address, timeout, zone)
-        self._pool = ConnectionPool(MAX_IDLE)
-        self._fresh = False
+        self._pool = ConnectionPool(MAX_IDLE_S)
+        self._use_new_connection = False
 
     async def write_rows(
         self, writes: Sequence[Write], atomic: bool
     ) -> tuple[list[bool], list[Row | None]]:
-        """Run conditional writes in one transaction."""
+        """Run conditional writes in one transaction; see `PlatformClient.write_rows`."""
         body = msgspec.json.encode({"writes": writes, "atomic": atomic})
-        answer = await self._call("POST", "/tables/write", body, WriteAnswer)
-        if len(answer.applied) != len(writes) or len(answer.rows) != len(writes):
-            raise PlatformError("the answer does not fit the writes")
-        return answer.applied, answer.rows
+        response = await self._call("POST", "/tables/write", body, WriteResponse)
+        if len(response.applied) != len(writes) or len(response.rows) != len(writes):
+            raise PlatformError(
+                "response has another number of results than the request has writes"
+            )
+        return response.applied, response.rows
 
     async def read_row(self, table: str, key: str) -> Row | None:
-        """Read one row."""
+        """Return a row, or None if there is none."""
         query = urlencode({"table": table, "key": key})
-        return (await self._call("GET", f"/tables/read?{query}", b"", RowAnswer)).row
+        return (await self._call("GET", f"/tables/read?{query}", b"", RowResponse)).row
 
     async def scan_rows(self, table: str, after: str, limit: int) -> list[Row]:
-        """Read rows in key order after a key."""
+        """Return at most `limit` rows in key order, starting after the key `after`."""
         query = urlencode({"table": table, "after": after, "limit": limit})
-        return (await self._call("GET", f"/tables/scan?{query}", b"", RowsAnswer)).rows
+        return (await self._call("GET", f"/tables/scan?{query}", b"", RowsResponse)).rows
 
     async def read_object(self, name: str) -> bytes:
-        """Read an object; empty if there is none."""
+        """Return the content of an object; empty if it does not exist."""
         status, body = await self._send("GET", f"/objects/{quote(name)}", b"")
         if status == 404:
             return b""
@@ -86,19 +92,19 @@
         self._check_status(status)
 
     async def read_list(self) -> list[Listed]:
-        """Read the list of instances and targets."""
+        """Return the instances and targets, with their addresses as seen from the own zone."""
         query = urlencode({"zone": self.zone})
-        return (await self._call("GET", f"/instances?{query}", b"", ListAnswer)).entries
+        return (await self._call("GET", f"/instances?{query}", b"", ListResponse)).entries
 
     def drop_idle(self, now: float) -> None:
-        """Close connections that have idled too long."""
+        """Close connections that were idle too long."""
         self._pool.drop_expired(now)
 
-    async def _call(self, method: str, target: str, body: bytes, kind: type[T]) -> T:
+    async def _call(self, method: str, target: str, body: bytes, response_type: type[T]) -> T:
         status, data = await self._send(method, target, body)
         self._check_status(status)
         try:
-            return msgspec.json.decode(data, type=kind)
+            return msgspec.json.decode(data, type=response_type)
         except msgspec.MsgspecError as error:
             raise PlatformError(str(error)) from error
 
@@ -115,17 +121,17 @@
                 body=body,
                 headers=headers,
                 timeout=self.timeout,
-                fresh=self._fresh,
+                fresh=self._use_new_connection,
             )
         except HttpFailure as failure:
-            # The pooled connections may all have gone silent; prove a new one first.
-            self._fresh = True
+            # All pooled connections may be dead; use new ones until one of them has worked.
+            self._use_new_connection = True
             raise PlatformError(str(failure)) from failure
         finally:
             self.traffic = self._pool.fetch_traffic
-        self._fresh = False
+        self._use_new_connection = False
         return response.status, data
 
     def _check_status(self, status: int) -> None:
         if status >= 300:
-            raise PlatformError(f"status {status}")
+            raise PlatformError(f"platform responded with a status that is not below 300: {status}")
--- a/rhubarbbend/storage/_rows.py
+++ b/rhubarbbend/storage/_rows.py
@@ -1,4 +1,4 @@
-"""The interface of stores whose tables an instance follows."""
+"""The interface of stores with versioned tables, whose changes an instance watches."""
 
 from __future__ import annotations
 
@@ -8,40 +8,43 @@
 
 
 class StoreError(Exception):
-    """A store call that got no answer that can be used; a write may have taken effect."""
+    """A store call without a usable response; a write may have taken effect nevertheless."""
 
 
 class HistoryGone(StoreError):
-    """The store no longer has the changes after the version asked for; read the whole table."""
+    """The store no longer has the changes after the requested version: read the whole table."""
 
 
 class RowChanged(StoreError):
-    """A row is not of the version that a write asked for; nothing was done."""
+    """A row does not have the version that a write expected; nothing was written."""
 
 
 class RowStore(abc.ABC):
-    """A store with versioned rows in tables. Every method raises `StoreError` on failure.
+    """A store of tables with versioned rows. Every method raises `StoreError` on failure.
 
-    Hooks: one object serves an instance for its life; calls may overlap. No call is repeated by
-    the client: whether to ask again, and whom, is decided by the follower.
+    Hooks: an instance uses one object for its whole life, and calls may run concurrently. The
+    client never retries a call: the caller decides whether to retry, and at which store.
     """
 
     @abc.abstractmethod
     async def read_table(self, table: str) -> TablePage:
-        """Read every row of a table."""
+        """Return every row of a table."""
 
     @abc.abstractmethod
     async def follow_table(self, table: str, after: int, wait: float) -> TablePage:
-        """Give what has changed after a version, waiting up to `wait` seconds for a change."""
+        """Return the changes after version `after`, waiting up to `wait` seconds for one.
+
+        Raise `HistoryGone` if the store no longer has the changes after that version.
+        """
 
     @abc.abstractmethod
     async def put_row(self, table: str, key: str, value: bytes) -> None:
-        """Write a row, whatever it held."""
+        """Write a row unconditionally."""
 
     @abc.abstractmethod
     async def remove_row(self, table: str, key: str, version: int | None = None) -> None:
-        """Drop a row, if a version is given only as that; raises `RowChanged` if it is another."""
+        """Delete a row; raise `RowChanged` if it does not have `version`, if one is given."""
 
     @abc.abstractmethod
     def reset(self) -> None:
-        """End calls under way and close every connection: they may be dead without a sign."""
+        """Abort calls in progress and close every connection, since any of them may be dead."""
--- a/rhubarbbend/targets/_base.py
+++ b/rhubarbbend/targets/_base.py
@@ -1,4 +1,4 @@
-"""The interface of target kinds."""
+"""The interface of target kinds, and the registry of all kinds."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 from rhubarbbend.core.actions import Dispatch
 from rhubarbbend.kernel import Registry
 
-# The id that a target's answer has to carry back.
+# The header with the attempt's id, which the target has to return in its response.
 ATTEMPT_HEADER: Final = "X-Request-Id"
 
 
 class LoadReport(msgspec.Struct):
-    """A target's report: `running` requests, `slots` it has (0: not said), `age` in seconds."""
+    """A load report of a target.
+
+    `running` is the number of requests in progress, `slots` the number that the target can run at
+    once (0 if not stated), `age` the age of the report in seconds.
+    """
 
     boot_id: str
     state: str = "ready"
@@ -28,7 +32,7 @@
 
 @attrs.define(slots=True, frozen=True)
 class TargetRequest:
-    """A request as it goes to a target."""
+    """A request as it is sent to a target."""
 
     method: str
     path: str
@@ -37,11 +41,11 @@
 
 
 class TargetKind(abc.ABC):
-    """Builds requests for a kind of target and reads its answers.
+    """Builds the requests to one kind of target and decodes its load reports.
 
-    Hooks: `build_request` makes the request of a dispatch; `resume_path` and `cancel_path` give
-    the paths that continue or cancel an attempt, empty where the kind cannot; `report_path` is
-    read for load reports, which `read_report` decodes.
+    Hooks: `build_request` builds the request for a dispatch; `resume_path` and `cancel_path` return
+    the paths that resume or cancel an attempt, or an empty string if the kind does not support it.
+    Load reports are read from `report_path` and decoded by `read_report`.
     """
 
     report_path: str = "/v1/load"
@@ -50,24 +54,24 @@
     def build_request(
         self, method: str, path: str, headers: dict[str, str], body: bytes, dispatch: Dispatch
     ) -> TargetRequest:
-        """Build the request to send to a target."""
+        """Return the request to send to a target for a caller's request."""
 
     def resume_path(self, attempt: str, offset: int) -> str:
-        """Give the path that continues an attempt's body at a byte offset."""
+        """Return the path that resumes an attempt's body at a byte offset; empty if unsupported."""
         return ""
 
     def cancel_path(self, attempt: str) -> str:
-        """Give the path whose DELETE cancels an attempt."""
+        """Return the path whose DELETE cancels an attempt; empty if unsupported."""
         return ""
 
     def read_report(self, data: bytes) -> LoadReport:
-        """Decode a load report; raises msgspec.MsgspecError."""
+        """Decode and return a load report; raise `msgspec.MsgspecError` if it is invalid."""
         return msgspec.json.decode(data, type=LoadReport)
 
 
 TARGET_KINDS: Final[Registry[TargetKind]] = Registry("target kind")
 
 
-def keep_headers(headers: dict[str, str], names: tuple[str, ...]) -> list[tuple[str, str]]:
-    """Pick the caller's headers that a target may see."""
+def select_headers(headers: dict[str, str], names: tuple[str, ...]) -> list[tuple[str, str]]:
+    """Return those of the caller's headers whose names are listed, in the order of the list."""
     return [(name, headers[name]) for name in names if name in headers]
--- a/rhubarbbend/targets/_engine.py
+++ b/rhubarbbend/targets/_engine.py
@@ -1,4 +1,4 @@
-"""Model engines: OpenAI-form chat completions that can be resumed and cancelled."""
+"""Model engines: chat completions in the format of OpenAI, which can be resumed and cancelled."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
     TARGET_KINDS,
     TargetKind,
     TargetRequest,
-    keep_headers,
+    select_headers,
 )
 
-PASSED_HEADERS = ("content-type", "accept", "x-priority")
+# The only headers of a caller that are sent to an engine.
+FORWARDED_HEADERS = ("content-type", "accept", "x-priority")
 
 
 @TARGET_KINDS.register("engine")
 class EngineKind(TargetKind):
-    """A model engine. Its answers can be continued by attempt id and byte offset."""
+    """A model engine, whose responses can be resumed by attempt id and byte offset."""
 
     def build_request(
         self, method: str, path: str, headers: dict[str, str], body: bytes, dispatch: Dispatch
     ) -> TargetRequest:
-        """Pass the body on under the attempt's id."""
-        passed = keep_headers(headers, PASSED_HEADERS)
-        passed.append((ATTEMPT_HEADER, dispatch.attempt))
-        return TargetRequest(method, path, passed, body)
+        """Return a request that forwards the body, with the attempt's id as a header."""
+        forwarded = select_headers(headers, FORWARDED_HEADERS)
+        forwarded.append((ATTEMPT_HEADER, dispatch.attempt))
+        return TargetRequest(method, path, forwarded, body)
 
     def resume_path(self, attempt: str, offset: int) -> str:
-        """Continue the attempt's answer."""
+        """Return the path that resumes the attempt's response at a byte offset."""
         return f"/v1/requests/{quote(attempt)}/stream?offset={offset}"
 
     def cancel_path(self, attempt: str) -> str:
-        """Cancel the attempt."""
+        """Return the path whose DELETE cancels the attempt."""
         return f"/v1/requests/{quote(attempt)}"
--- a/tests/http/__init__.py
+++ b/tests/http/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the HTTP sides."""
+"""Tests of the HTTP server and client."""
--- a/tests/http/test_connection.py
+++ b/tests/http/test_connection.py
@@ -1,4 +1,4 @@
-"""Opening a connection, on machines that stop the process now and then."""
+"""Tests of establishing client connections."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from rhubarbbend.http import Connection, HttpFailure, SendStage
 
 
-async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def read_until_closed(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()
     writer.close()
 
 
-def test_a_connection_that_opened_while_the_process_stood_still_is_taken() -> None:
-    # The process is stopped for longer than the time-out right after it began to connect. When it
-    # goes on, both the connection and the time-out are there.
-    async def work() -> None:
-        server = await asyncio.start_server(accept, "127.0.0.1", 0)
+def test_connection_established_while_the_process_was_suspended_is_used() -> None:
+    # The process is suspended for longer than the time-out just after it started to connect. When
+    # it continues, the connection is established and the time-out has expired; reporting a failure
+    # would mark a healthy target as down.
+    async def scenario() -> None:
+        server = await asyncio.start_server(read_until_closed, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()
         opening = asyncio.ensure_future(Connection.open(address, 0.05))
         await asyncio.sleep(0)
@@ -30,12 +31,12 @@
         connection.close()
         server.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_a_connection_that_nobody_takes_fails_in_time() -> None:
-    # The queue of new connections is full, so the opening packet gets no answer.
-    async def work() -> None:
+def test_connecting_to_a_full_listen_queue_times_out() -> None:
+    # The listen queue is full, so the kernel drops the SYN packet and connecting never completes.
+    async def scenario() -> None:
         with socket.socket() as listener:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
@@ -43,12 +44,12 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
-            began = time.monotonic()
+            started_at = time.monotonic()
             with pytest.raises(HttpFailure) as failure:
                 await Connection.open(listener.getsockname(), 0.1)
             assert failure.value.stage is SendStage.CONNECT
-            assert time.monotonic() - began < 0.5
+            assert time.monotonic() - started_at < 0.5
             for filler in fillers:
                 filler.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""What a client can send: it costs bounded time and memory and is answered clearly."""
+"""Tests of the server's limits: any input takes bounded time and memory and gets a clear error."""
 
 from __future__ import annotations
 
@@ -22,45 +22,45 @@
 )
 
 
-async def answer(exchange: Exchange) -> None:
-    """Answer with the size of the body."""
+async def respond_with_body_size(exchange: Exchange) -> None:
+    """Respond with the size of the body, after a delay if the path is `/wait`."""
     if exchange.target == "/wait":
         await asyncio.sleep(0.5)
     exchange.respond(200, [], str(len(exchange.body)).encode())
 
 
-async def talk(port: int, *parts: bytes, pause: float = 0.0) -> bytes:
-    """Send parts and read until the server closes."""
+async def send_parts(port: int, *parts: bytes, pause: float = 0.0) -> bytes:
+    """Send parts `pause` seconds apart; return what the server sends until it closes."""
     reader, writer = await asyncio.open_connection(HOST, port)
-    reading = asyncio.create_task(reader.read())
+    read_task = asyncio.create_task(reader.read())
     for part in parts:
-        if reading.done():
+        if read_task.done():
             break
         writer.write(part)
         await asyncio.sleep(pause)
-    got = await reading
+    received = await read_task
     writer.close()
-    return got
+    return received
 
 
-def run(*parts: bytes, pause: float = 0.0) -> tuple[bytes, float]:
-    """Serve one client; gives what it got and how long it took."""
+def serve_client(*parts: bytes, pause: float = 0.0) -> tuple[bytes, float]:
+    """Serve one client; return what it received and for how many seconds it was served."""
 
-    async def work() -> tuple[bytes, float]:
-        server = HttpServer(answer, LIMITS)
+    async def scenario() -> tuple[bytes, float]:
+        server = HttpServer(respond_with_body_size, LIMITS)
         port = await server.listen(HOST, 0)
-        started = time.monotonic()
+        started_at = time.monotonic()
         async with asyncio.timeout(10.0):
-            got = await talk(port, *parts, pause=pause)
+            received = await send_parts(port, *parts, pause=pause)
         await server.close()
-        return got, time.monotonic() - started
+        return received, time.monotonic() - started_at
 
-    return asyncio.run(work())
+    return asyncio.run(scenario())
 
 
-def read_error(got: bytes) -> tuple[int, dict[str, str]]:
-    """Read the status and the error of an answer."""
-    head, _, body = got.partition(b"\r\n\r\n")
+def parse_error(received: bytes) -> tuple[int, dict[str, str]]:
+    """Return the status and the error object of a response."""
+    head, _, body = received.partition(b"\r\n\r\n")
     return int(head.split()[1]), msgspec.json.decode(body)["error"]
 
 
@@ -76,36 +76,38 @@
         (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nfew", 408),
     ],
 )
-def test_unreadable_requests_are_rejected(sent: bytes, status: int) -> None:
-    got, seconds = run(sent)
-    found, error = read_error(got)
-    assert (found, error["verdict"]) == (status, "not_run")
+def test_invalid_and_oversized_requests_are_rejected(sent: bytes, status: int) -> None:
+    received, seconds = serve_client(sent)
+    found_status, error = parse_error(received)
+    assert (found_status, error["verdict"]) == (status, "not_run")
     assert seconds < 2.0
 
 
-def test_head_sent_byte_by_byte_is_cut_off() -> None:
-    """The client sends a byte every 0.1 s, each well within the time-out. The time-out is on the
-    whole head, so it gets its 408 and does not hold the connection."""
+def test_head_sent_byte_by_byte_times_out() -> None:
+    """The client sends a byte every 0.1 s, each well within the time-out. The time-out applies to
+    the whole head, so the client gets status 408 and cannot hold the connection."""
     parts = [bytes([byte]) for byte in b"GET / HTTP/1.1\r\nHost: xxxxxxxxxxxxxxxxxxxxxxxxxxxxxx"]
-    started = time.monotonic()
-    got, _ = run(*parts[:12], pause=0.1)
-    assert read_error(got)[0] == 408
-    assert time.monotonic() - started < 1.2
+    started_at = time.monotonic()
+    received, _ = serve_client(*parts[:12], pause=0.1)
+    assert parse_error(received)[0] == 408
+    assert time.monotonic() - started_at < 1.2
 
 
-def test_many_bodies_at_once_are_bounded_together() -> None:
-    """Two bodies, each within its bound, are together over what the server holds. The second is
-    refused while the first is being served, and taken after it."""
+def test_total_size_of_concurrent_bodies_is_limited() -> None:
+    """Two bodies, each within its own limit, together exceed the limit on all bodies. The second is
+    rejected while the first request is in flight, and accepted afterwards."""
 
-    async def work() -> None:
-        server = HttpServer(answer, LIMITS)
+    async def scenario() -> None:
+        server = HttpServer(respond_with_body_size, LIMITS)
         port = await server.listen(HOST, 0)
-        form = b"POST %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 900\r\n\r\n"
-        first = asyncio.create_task(talk(port, form % b"/wait" + b"b" * 900))
+        template = (
+            b"POST %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 900\r\n\r\n"
+        )
+        first = asyncio.create_task(send_parts(port, template % b"/wait" + b"b" * 900))
         await asyncio.sleep(0.2)
-        assert read_error(await talk(port, form % b"/" + b"b" * 900))[0] == 503
+        assert parse_error(await send_parts(port, template % b"/" + b"b" * 900))[0] == 503
         assert (await first).startswith(b"HTTP/1.1 200")
-        assert (await talk(port, form % b"/" + b"b" * 900)).startswith(b"HTTP/1.1 200")
+        assert (await send_parts(port, template % b"/" + b"b" * 900)).startswith(b"HTTP/1.1 200")
         await server.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/tests/http/test_server_stop.py
+++ b/tests/http/test_server_stop.py
@@ -1,4 +1,4 @@
-"""The HTTP server's planned stop."""
+"""Tests of a planned stop of the HTTP server."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from rhubarbbend.http import Exchange, HttpServer, _server
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-# Less than the event loop takes as a reason to make a writer wait.
-LEFT = 40_000
+# Below the high-water mark above which the event loop makes writers wait.
+UNSENT_BYTES = 40_000
 
 
-async def respond(exchange: Exchange) -> None:
-    """Write until the client's and the kernel's buffers are full and `LEFT` bytes remain here."""
+async def write_unsent_response(exchange: Exchange) -> None:
+    """Fill the socket buffers of client and server and leave `UNSENT_BYTES` in the write buffer."""
     exchange.start(200, [])
-    while exchange._writer.transport.get_write_buffer_size() < LEFT:
+    while exchange._writer.transport.get_write_buffer_size() < UNSENT_BYTES:
         exchange.write(b"x" * 10_000)
     exchange.finish()
 
 
-async def connect(port: int) -> socket.socket:
-    """Send a request over a connection that takes little and read none of the answer."""
+async def send_request(port: int) -> socket.socket:
+    """Send a request over a connection with a small receive buffer; read none of the response."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     client.setblocking(False)
@@ -33,42 +33,43 @@
     return client
 
 
-def test_a_slow_client_gets_the_rest_of_its_answer() -> None:
-    """The handler has written its answer; the client has read little of it when the server stops.
+def test_slow_client_receives_the_rest_of_its_response() -> None:
+    """The server stops when the response is written but the client has read little of it.
 
-    The process ends when `finish` returns, and with it everything that is still in its buffers:
-    the client would see its answer cut. So `finish` waits until the rest has gone out.
+    The process exits when `finish` returns and loses what is still in its buffers, which would
+    truncate the response. `finish` therefore has to wait until the rest is sent.
     """
 
-    async def work() -> None:
-        server = HttpServer(respond)
-        client = await connect(await server.listen("127.0.0.1", 0))
+    async def scenario() -> None:
+        server = HttpServer(write_unsent_response)
+        client = await send_request(await server.listen("127.0.0.1", 0))
         await asyncio.sleep(0.2)
-        finishing = asyncio.create_task(server.finish())
+        finish_task = asyncio.create_task(server.finish())
         await asyncio.sleep(1.2)
-        assert not finishing.done(), "ended with part of an answer in its buffers"
+        assert not finish_task.done(), "finish() returned although part of a response was unsent"
         received = b""
         while part := await asyncio.get_running_loop().sock_recv(client, 1_000_000):
             received = received[-10:] + part
         assert received.endswith(b"0\r\n\r\n")
-        await asyncio.wait_for(finishing, 5.0)
+        await asyncio.wait_for(finish_task, 5.0)
         client.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_is_gone_does_not_hold_up_the_stop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client takes nothing of its answer any more and closes nothing: its host has died.
+def test_dead_client_does_not_block_the_stop(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client receives nothing more and does not close its connection, as when its host died.
 
-    It is given up after a time without progress; waiting on, the process would never end.
+    The server has to abort the connection after a time without progress; otherwise the process
+    would never exit.
     """
 
-    async def work() -> None:
-        monkeypatch.setattr(_server, "FLUSH_TIMEOUT", 1.0)
-        server = HttpServer(respond)
-        client = await connect(await server.listen("127.0.0.1", 0))
+    async def scenario() -> None:
+        monkeypatch.setattr(_server, "FLUSH_TIMEOUT_S", 1.0)
+        server = HttpServer(write_unsent_response)
+        client = await send_request(await server.listen("127.0.0.1", 0))
         await asyncio.sleep(0.2)
         await asyncio.wait_for(server.finish(), 5.0)
         client.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
