--- a/rhubarbbend/operators/__init__.py
+++ b/rhubarbbend/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' remote procedure calls: schema, server and client."""
+"""Remote procedure calls for operators of the fleet: schema, server and client."""
 
 from rhubarbbend.operators._checks import find_unknown_target_kinds
 from rhubarbbend.operators._client import OperatorClient
--- a/rhubarbbend/operators/_checks.py
+++ b/rhubarbbend/operators/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a change set that need the plug-ins, which the core does not know."""
+"""Checks of a change set that need the target plug-ins, which the core does not know."""
 
 from __future__ import annotations
 
@@ -11,9 +11,13 @@
 
 
 def find_unknown_target_kinds(items: Sequence[tuple[str, str, bytes]]) -> list[str]:
-    """List services whose kind no plug-in has registered; unreadable ones are left to the core."""
+    """Return a problem for each service whose target kind no plug-in has registered.
+
+    Each item is the kind, name and value of a declaration. Declarations that cannot be decoded are
+    skipped; the core reports them.
+    """
     known = TARGET_KINDS.list_names()
-    found: list[str] = []
+    problems: list[str] = []
     for kind, name, value in items:
         if kind != "service" or not value:
             continue
@@ -23,7 +27,7 @@
             continue
         if isinstance(service, Service) and service.kind not in known:
             expected = ", ".join(known)
-            found.append(
+            problems.append(
                 f"service {name!r}: kind: expected one of {expected}, got {service.kind!r}"
             )
-    return found
+    return problems
--- a/rhubarbbend/operators/_client.py
+++ b/rhubarbbend/operators/_client.py
@@ -1,4 +1,4 @@
-"""The operators' client, used by the command line."""
+"""The client for operators, used by the command line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OperatorClient:
-    """One connection to an instance's operator port; use it as a context manager."""
+    """A connection to the operator port of an instance, used as a context manager."""
 
     def __init__(self, address: tuple[str, int], key: str) -> None:
         self._address = address
@@ -49,7 +49,10 @@
         base_version: int,
         declarations: list[tuple[str, str, bytes]],
     ) -> int:
-        """Send a change set; give the version that it was accepted as."""
+        """Send a change set and return the version under which it was accepted.
+
+        Raises the exceptions that the schema declares for `apply_change`.
+        """
         change = SCHEMA.Change(
             change_id=change_id,
             author=author,
@@ -62,5 +65,8 @@
         return int(self._client.apply_change(self._key, change))
 
     def show(self, what: str) -> Any:
-        """Call show_config, show_zones, show_targets or show_instances."""
+        """Call show_config, show_zones, show_targets or show_instances and return its result.
+
+        Raises `SCHEMA.NotAllowed` if the key is wrong; show_config also raises `SCHEMA.NotReady`.
+        """
         return getattr(self._client, f"show_{what}")(self._key)
--- a/rhubarbbend/operators/_server.py
+++ b/rhubarbbend/operators/_server.py
@@ -1,4 +1,4 @@
-"""Answers operators: proposes their changes to the core and shows the core's views."""
+"""Serve operators' calls: propose their changes to the core, and return views of its state."""
 
 from __future__ import annotations
 
@@ -19,49 +19,60 @@
 from rhubarbbend.operators._checks import find_unknown_target_kinds
 from rhubarbbend.operators._schema import SCHEMA
 
-FRAME_HEAD: Final = 4
+FRAME_HEADER_BYTES: Final = 4
 MAX_CALL_BYTES: Final = 16 * 1024 * 1024
 MAX_CONNECTIONS: Final = 64
-# An operator's connection that says nothing for this long is closed.
-IDLE_TIMEOUT: Final = 60.0
-# How long a planned stop waits for the answers of calls under way.
-CLOSE_TIMEOUT: Final = 10.0
-# How long `show instances` waits for each instance to tell its version.
-VERSION_WAIT: Final = 1.0
-VERSION_POLL: Final = 0.02
-MAX_ID_LENGTH: Final = 100
+# A connection on which no call arrives for this long is closed.
+IDLE_TIMEOUT_S: Final = 60.0
+# How long a planned stop waits until active calls are answered.
+CLOSE_TIMEOUT_S: Final = 10.0
+# How long `show instances` waits for all instances to report their version.
+VERSION_TIMEOUT_S: Final = 1.0
+VERSION_POLL_INTERVAL_S: Final = 0.02
+MAX_ID_CHARS: Final = 100
 
 
 @attrs.define(slots=True, frozen=True)
 class ChangeAnswer:
-    """What became of a proposed change."""
+    """The result of a proposed change.
+
+    `error` is empty if the change was accepted as `version`.
+    """
 
     error: str
     version: int
     author: str
 
 
-Propose = Callable[[ChangeProposed], Awaitable[ChangeAnswer]]
-Feed = Callable[[Event], None]
+ProposeChange = Callable[[ChangeProposed], Awaitable[ChangeAnswer]]
+SubmitEvent = Callable[[Event], None]
 
 
 class _Handler:
-    """The methods of the schema's service."""
+    """The methods of the service that the schema declares."""
 
     def __init__(
-        self, core: Core, key: str, propose: Propose, feed: Feed, read_time: Callable[[], float]
+        self,
+        core: Core,
+        key: str,
+        propose_change: ProposeChange,
+        submit_event: SubmitEvent,
+        clock: Callable[[], float],
     ) -> None:
         self._core = core
         self._key = key
-        self._propose = propose
-        self._feed = feed
-        self._read_time = read_time
+        self._propose_change = propose_change
+        self._submit_event = submit_event
+        self._clock = clock
         self._next_op = 0
 
     async def apply_change(self, key: str, change: Any) -> int:
-        """Propose a change and wait for the table's word."""
-        self._check(key)
-        self._check_ready()
+        """Propose a change, wait until the platform has accepted it and return its version.
+
+        Raises the exceptions that the schema declares for this call.
+        """
+        self._check_key(key)
+        self._check_configuration_ready()
         self._next_op += 1
         event = ChangeProposed(
             f"operator:{self._next_op}",
@@ -70,18 +81,18 @@
             change.base_version or 0,
             [(d.kind or "", d.name or "", _as_bytes(d.value)) for d in change.declarations or ()],
         )
-        problem = _check_event(event)
+        problem = _find_problems(event)
         if problem:
             raise SCHEMA.InvalidChange(problem=problem)
-        answer = await self._propose(event)
+        answer = await self._propose_change(event)
         if not answer.error:
             return answer.version
-        raise _make_error(answer, event.change_id)
+        raise _make_exception(answer, event.change_id)
 
     async def show_config(self, key: str) -> Any:
-        """Show every declaration in force."""
-        self._check(key)
-        self._check_ready()
+        """Return every declaration in force."""
+        self._check_key(key)
+        self._check_configuration_ready()
         configuration = self._core.context.configuration
         declarations = [
             SCHEMA.Declaration(kind=item.kind, name=item.name, value=item.value)
@@ -90,8 +101,8 @@
         return SCHEMA.ConfigView(version=configuration.version, declarations=declarations)
 
     async def show_zones(self, key: str) -> list[Any]:
-        """Show the zones that are declared or have instances or targets."""
-        self._check(key)
+        """Return the zones that are declared or have instances or targets."""
+        self._check_key(key)
         context = self._core.context
         fleet = context.fleet
         names = set(context.configuration.zones)
@@ -108,8 +119,8 @@
         ]
 
     async def show_targets(self, key: str) -> list[Any]:
-        """Show the targets as this instance sees them."""
-        self._check(key)
+        """Return the targets as this instance sees them."""
+        self._check_key(key)
         context = self._core.context
         return [
             SCHEMA.TargetView(
@@ -130,26 +141,30 @@
         ]
 
     async def show_instances(self, key: str) -> list[Any]:
-        """Show the instances and how far behind each is, as they themselves say now."""
-        self._check(key)
+        """Return the instances and how many versions each is behind.
+
+        Requests the current version from each instance, and waits up to `VERSION_TIMEOUT_S` for
+        their reports.
+        """
+        self._check_key(key)
         context = self._core.context
-        asked_at = self._read_time()
-        self._feed(VersionsAsked())
-        while self._read_time() < asked_at + VERSION_WAIT:
-            if all(self._is_heard_since(view, asked_at) for view in self._list_instances()):
+        requested_at = self._clock()
+        self._submit_event(VersionsAsked())
+        while self._clock() < requested_at + VERSION_TIMEOUT_S:
+            if all(self._has_reported_since(view, requested_at) for view in self._list_instances()):
                 break
-            await asyncio.sleep(VERSION_POLL)
-        now = self._read_time()
-        newest = self._find_newest()
+            await asyncio.sleep(VERSION_POLL_INTERVAL_S)
+        now = self._clock()
+        newest = self._find_newest_version()
         return [
             SCHEMA.InstanceView(
                 id=view.id,
                 zone=view.zone,
                 live=context.fleet.is_live(view, now),
                 leaving=view.leaving,
-                config_version=self._read_version(view),
-                heard_age=self._read_age(view, now),
-                behind=newest - self._read_version(view),
+                config_version=self._get_version(view),
+                heard_age=self._compute_report_age(view, now),
+                behind=newest - self._get_version(view),
             )
             for view in self._list_instances()
         ]
@@ -157,38 +172,38 @@
     def _list_instances(self) -> list[InstanceView]:
         return sorted(self._core.context.fleet.instances.values(), key=lambda view: view.id)
 
-    def _find_newest(self) -> int:
-        return max([self._read_version(view) for view in self._list_instances()], default=0)
+    def _find_newest_version(self) -> int:
+        return max([self._get_version(view) for view in self._list_instances()], default=0)
 
     def _is_own(self, view: InstanceView) -> bool:
         return view.id == self._core.context.identity.instance
 
-    def _is_heard_since(self, view: InstanceView, since: float) -> bool:
+    def _has_reported_since(self, view: InstanceView, since: float) -> bool:
         return self._is_own(view) or view.version_heard >= since
 
-    def _read_version(self, view: InstanceView) -> int:
+    def _get_version(self, view: InstanceView) -> int:
         return (
             self._core.context.configuration.version if self._is_own(view) else view.config_version
         )
 
-    def _read_age(self, view: InstanceView, now: float) -> float:
+    def _compute_report_age(self, view: InstanceView, now: float) -> float:
         if self._is_own(view):
             return 0.0
         return now - view.version_heard if view.version_heard >= 0 else -1.0
 
-    def _check(self, key: str) -> None:
+    def _check_key(self, key: str) -> None:
         if not hmac.compare_digest((key or "").encode(), self._key.encode()):
             raise SCHEMA.NotAllowed(reason="the operator key does not fit")
 
-    def _check_ready(self) -> None:
+    def _check_configuration_ready(self) -> None:
         if not self._core.context.config_ready:
             raise SCHEMA.NotReady(reason="this instance has no configuration yet")
 
 
-def _check_event(event: ChangeProposed) -> str:
+def _find_problems(event: ChangeProposed) -> str:
     for field in ("change_id", "author"):
-        if not 0 < len(getattr(event, field)) <= MAX_ID_LENGTH:
-            return f"{field}: expected 1 to {MAX_ID_LENGTH} characters"
+        if not 0 < len(getattr(event, field)) <= MAX_ID_CHARS:
+            return f"{field}: expected 1 to {MAX_ID_CHARS} characters"
     return "; ".join(find_unknown_target_kinds(event.items))
 
 
@@ -198,7 +213,7 @@
     return value if isinstance(value, bytes) else str(value).encode()
 
 
-def _make_error(answer: ChangeAnswer, change_id: str) -> Exception:
+def _make_exception(answer: ChangeAnswer, change_id: str) -> Exception:
     if answer.error == ERROR_CONFLICT:
         error = SCHEMA.Conflict(version=answer.version, author=answer.author)
     elif answer.error == ERROR_UNKNOWN:
@@ -213,11 +228,11 @@
 
 
 class MalformedCall(Exception):
-    """Bytes that are no call of the schema."""
+    """The received bytes are not a call of the schema."""
 
 
-# What a handler raises when a field holds something else than the schema says.
-MALFORMED: Final = (
+# Errors raised when a call, or a value in it, does not match the schema.
+MALFORMED_CALL_ERRORS: Final = (
     MalformedCall,
     TException,
     AttributeError,
@@ -228,32 +243,38 @@
 
 
 class OperatorServer:
-    """Listens for operators: Thrift calls in frames, each read whole and bounded in size."""
+    """Listen for operators' calls: Thrift calls in frames of bounded size, each read completely."""
 
     def __init__(
-        self, core: Core, key: str, propose: Propose, feed: Feed, read_time: Callable[[], float]
+        self,
+        core: Core,
+        key: str,
+        propose_change: ProposeChange,
+        submit_event: SubmitEvent,
+        clock: Callable[[], float],
     ) -> None:
-        handler = _Handler(core, key, propose, feed, read_time)
+        handler = _Handler(core, key, propose_change, submit_event, clock)
         self._processor = TProcessor(SCHEMA.Operators, handler)
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._busy: set[asyncio.Task[None]] = set()
+        self._active_tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, host: str, port: int) -> None:
         """Start to accept calls."""
         self._server = await asyncio.start_server(self._accept, host, port)
 
     async def close(self) -> None:
-        """Stop accepting calls; those under way get their answers first.
+        """Stop accepting calls, and wait until the active ones are answered.
 
-        An operator whose connection ends during a change does not know whether it was accepted.
+        An operator whose connection closes during a change does not know whether the change was
+        accepted.
         """
         if self._server is not None:
             self._server.close()
-        for task in self._tasks - self._busy:
+        for task in self._tasks - self._active_tasks:
             task.cancel()
-        if self._busy:
-            await asyncio.wait(list(self._busy), timeout=CLOSE_TIMEOUT)
+        if self._active_tasks:
+            await asyncio.wait(list(self._active_tasks), timeout=CLOSE_TIMEOUT_S)
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -269,28 +290,28 @@
             await self._serve_connection(task, reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, TimeoutError):
             pass
-        except MALFORMED:
-            # The connection is of no more use.
+        except MALFORMED_CALL_ERRORS:
+            # The connection cannot be used any more, so it is closed.
             pass
         finally:
             self._tasks.discard(task)
-            self._busy.discard(task)
+            self._active_tasks.discard(task)
             writer.close()
 
     async def _serve_connection(
         self, task: asyncio.Task[None], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while self._server is not None and self._server.is_serving():
-            async with asyncio.timeout(IDLE_TIMEOUT):
-                length = int.from_bytes(await reader.readexactly(FRAME_HEAD), "big")
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                length = int.from_bytes(await reader.readexactly(FRAME_HEADER_BYTES), "big")
                 if length > MAX_CALL_BYTES:
                     return
                 call = await reader.readexactly(length)
-            self._busy.add(task)
+            self._active_tasks.add(task)
             data = await self._run_call(call)
-            writer.write(len(data).to_bytes(FRAME_HEAD, "big") + data)
+            writer.write(len(data).to_bytes(FRAME_HEADER_BYTES, "big") + data)
             await writer.drain()
-            self._busy.discard(task)
+            self._active_tasks.discard(task)
 
     async def _run_call(self, data: bytes) -> bytes:
         arguments = TCyBinaryProtocol(TCyMemoryBuffer(data))
@@ -299,7 +320,7 @@
         try:
             api, sequence, result, call = self._processor.process_in(arguments)
         except Exception as error:
-            # The C codec raises errors of many kinds; all of them speak of these bytes alone.
+            # The C codec raises many types of errors; all of them are caused by these bytes alone.
             raise MalformedCall(f"{type(error).__name__}: {error}") from error
         if call is None:
             self._processor.send_exception(answer, api, result, sequence)
--- a/rhubarbbend/schema/operators.thrift
+++ b/rhubarbbend/schema/operators.thrift
@@ -1,18 +1,20 @@
 /**
- * What operators may ask of any instance. Every call carries the operators' key. The text of
- * each declaration is JSON of the types in rhubarbbend/core/configuration.py.
+ * The calls that operators may make to any instance. Every call carries the operators' key. The
+ * value of each declaration is JSON of one of the types in rhubarbbend/core/configuration.py.
  */
 namespace py rhubarbbend.schema.operators
 
-/** The key does not fit. */
+/** The key is not the operators' key. */
 exception NotAllowed { 1: string reason }
-/** The change cannot be accepted as it is; nothing was written. */
+/** The change is invalid; nothing was written. */
 exception InvalidChange { 1: string problem }
-/** Another operator's change took this version first; nothing was written. */
+/** Another operator's change was accepted as this version first; nothing was written. */
 exception Conflict { 1: i64 version, 2: string author }
-/** No answer came from the table: send the same change id again to learn the outcome. */
+/** The platform's table did not answer, so the outcome is unknown. Send the change again with the
+ * same change id to get the outcome. */
 exception OutcomeUnknown { 1: string change_id }
-/** The instance has no configuration yet, or not the version that the change is based on. */
+/** The instance has no configuration yet, or does not have the version on which the change is
+ * based. */
 exception NotReady { 1: string reason }
 
 /** A declaration; an empty value removes it. */
@@ -22,7 +24,7 @@
   3: binary value,
 }
 
-/** A change set that is accepted whole or not at all, as version base_version + 1. */
+/** A change set. It is accepted as version base_version + 1, either completely or not at all. */
 struct Change {
   1: string change_id,
   2: string author,
@@ -54,12 +56,13 @@
   9: i32 load,
   10: i32 limit,
   11: string boot_id,
-  /** The operators' word on the target alone; in_service also heeds its zone. */
+  /** Whether operators declared the target itself in service; in_service also depends on its
+   * availability zone. */
   12: bool declared_in,
 }
 
-/** How far an instance has come, by its own word heard_age seconds ago (-1: never heard), and how
- * many versions it is behind the newest that is known. */
+/** The configuration version of an instance, and how many versions it is behind the newest known
+ * one. The instance reported its version heard_age seconds ago (-1: it never reported). */
 struct InstanceView {
   1: string id,
   2: string zone,
@@ -71,7 +74,7 @@
 }
 
 service Operators {
-  /** Propose a change; gives the version that it was accepted as, also when sent again. */
+  /** Proposes a change; returns the version under which it was accepted, also if sent again. */
   i64 apply_change(1: string key, 2: Change change)
     throws (1: NotAllowed not_allowed, 2: InvalidChange invalid, 3: Conflict conflict,
             4: OutcomeUnknown unknown, 5: NotReady not_ready),
--- a/tests/operators/test_server.py
+++ b/tests/operators/test_server.py
@@ -1,4 +1,4 @@
-"""The operators' port: garbage, wrong keys, silence and too many connections."""
+"""The operators' port: malformed calls, wrong keys, idle connections and too many connections."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from tests.core.drive import make_row, make_zone, scan, start_core
 
 KEY = "k" * 64
-# The head of a valid call of show_config, whose rest hypothesis makes up.
-HEAD = b"\x80\x01\x00\x01\x00\x00\x00\x0bshow_config\x00\x00\x00\x00"
-APPLY = b"\x80\x01\x00\x01\x00\x00\x00\x0capply_change\x00\x00\x00\x00"
+# The headers of valid calls; hypothesis generates the rest.
+SHOW_CONFIG_HEADER = b"\x80\x01\x00\x01\x00\x00\x00\x0bshow_config\x00\x00\x00\x00"
+APPLY_CHANGE_HEADER = b"\x80\x01\x00\x01\x00\x00\x00\x0capply_change\x00\x00\x00\x00"
 
 
-async def propose(event: ChangeProposed) -> ChangeAnswer:
+async def propose_change(event: ChangeProposed) -> ChangeAnswer:
     return ChangeAnswer("", 2, "")
 
 
 def make_server(core: Core) -> OperatorServer:
-    def feed(event: Event) -> None:
+    def submit_event(event: Event) -> None:
         core.handle(event, 5.0)
 
-    return OperatorServer(core, KEY, propose, feed, lambda: 5.0)
+    return OperatorServer(core, KEY, propose_change, submit_event, lambda: 5.0)
 
 
 def make_core() -> Core:
@@ -41,24 +41,24 @@
 @given(
     st.one_of(
         st.binary(max_size=200),
-        st.binary(max_size=80).map(lambda b: HEAD + b),
-        st.binary(max_size=80).map(lambda b: APPLY + b),
+        st.binary(max_size=80).map(lambda b: SHOW_CONFIG_HEADER + b),
+        st.binary(max_size=80).map(lambda b: APPLY_CHANGE_HEADER + b),
     )
 )
-def test_garbage_ends_the_connection_and_nothing_else(data: bytes) -> None:
-    """Bytes that are no call come in a frame: a scanner, or another version of the schema.
+def test_malformed_calls_raise_only_expected_errors(data: bytes) -> None:
+    """A frame holds bytes that are not a call, from a scanner or another version of the schema.
 
-    They must raise only what the server expects, or the connection's task would die with a
-    traceback for each; and never be taken for a call that changes something.
+    They must raise only the errors that the server expects; any other would end the connection's
+    task with a traceback. They must never be taken for a call that changes something.
     """
     server = make_server(make_core())
-    with contextlib.suppress(*_server.MALFORMED):
+    with contextlib.suppress(*_server.MALFORMED_CALL_ERRORS):
         answer = asyncio.run(server._run_call(data))
         assert isinstance(answer, bytes)
 
 
 def run_with_client(check: object) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         server = make_server(make_core())
         await server.listen("127.0.0.1", 0)
         assert server._server is not None
@@ -68,7 +68,7 @@
         finally:
             await server.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_a_wrong_key_is_refused_with_a_typed_error() -> None:
@@ -102,11 +102,11 @@
     run_with_client(check)
 
 
-def test_silent_connections_are_closed_and_their_number_is_bounded(
+def test_idle_connections_are_closed_and_their_number_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Something opens connections and says nothing; operators must get through nevertheless."""
-    monkeypatch.setattr(_server, "IDLE_TIMEOUT", 0.3)
+    """Idle connections must not keep operators from connecting."""
+    monkeypatch.setattr(_server, "IDLE_TIMEOUT_S", 0.3)
     monkeypatch.setattr(_server, "MAX_CONNECTIONS", 3)
 
     async def check(address: tuple[str, int]) -> None:
