--- a/rhubarbbend/peers/_codec.py
+++ b/rhubarbbend/peers/_codec.py
@@ -1,7 +1,7 @@
-"""Encodes and decodes peer messages with Thrift's C codec.
+"""Encode and decode messages between instances with Thrift's C codec.
 
-The schema is read once; its field tables are attached to the typed message classes of the core,
-so that the codec fills those directly and no second set of classes has to be kept in step.
+The schema is read once. Its field tables are attached to the typed message classes of the core, so
+the codec fills those classes directly and no second set of classes has to be kept in sync.
 """
 
 from __future__ import annotations
@@ -20,46 +20,49 @@
 from rhubarbbend.core.messages import Message
 
 MAX_FRAME_BYTES: Final = 8 * 1024 * 1024
-SCHEMA: Final = "peers.thrift"
+SCHEMA_FILE: Final = "peers.thrift"
 LENGTH_BYTES: Final = 4
 SEAL_BYTES: Final = 8
 SEAL_CONTEXT: Final = b"rhubarbbend peer frame 1"
 
 
 class FrameError(Exception):
-    """A frame that is no valid envelope of one message."""
+    """A frame is not a valid envelope of exactly one message, or fails authentication."""
 
 
 class FrameSeal:
-    """Signs frames with the fleet's secret.
+    """Authenticate frames with a keyed hash (the seal) derived from the fleet's secret.
 
-    The decoder trusts lengths inside a frame: a damaged one can keep it busy for minutes, in
-    which the instance does nothing else. Nothing reaches the decoder that was not sealed by an
-    instance of the fleet and has not arrived as it was.
+    The decoder trusts the lengths inside a frame: a corrupted length can keep it busy for minutes,
+    during which the instance does nothing else. Only frames that an instance of the fleet has
+    sealed, and that arrived unchanged, may reach the decoder.
     """
 
     def __init__(self, secret: bytes) -> None:
         self._key = hmac.new(secret, SEAL_CONTEXT, hashlib.blake2b).digest()
 
     def close(self, frame: bytes) -> bytes:
-        """Seal a frame: four bytes of length, then the seal, then the envelope."""
+        """Return the sealed frame: four bytes of length, then the seal, then the envelope."""
         data = frame[LENGTH_BYTES:]
-        seal = self._sign(data)
-        return (len(data) + SEAL_BYTES).to_bytes(LENGTH_BYTES, "big") + seal + data
+        tag = self._compute_tag(data)
+        return (len(data) + SEAL_BYTES).to_bytes(LENGTH_BYTES, "big") + tag + data
 
     def open(self, frame: bytes) -> bytes:
-        """Give the envelope of a frame without its length; raises `FrameError` if damaged."""
+        """Verify a sealed frame without its length prefix and return its envelope.
+
+        Raises `FrameError` if the seal does not match.
+        """
         data = frame[SEAL_BYTES:]
-        if not hmac.compare_digest(frame[:SEAL_BYTES], self._sign(data)):
-            raise FrameError("the seal does not fit")
+        if not hmac.compare_digest(frame[:SEAL_BYTES], self._compute_tag(data)):
+            raise FrameError("frame rejected: its seal does not match its content")
         return data
 
-    def _sign(self, data: bytes) -> bytes:
+    def _compute_tag(self, data: bytes) -> bytes:
         return hashlib.blake2b(data, digest_size=SEAL_BYTES, key=self._key).digest()
 
 
 class Envelope:
-    """A frame's content: the sender and one message."""
+    """The content of a frame: the sender and one message."""
 
     thrift_spec: dict[int, Any] = {}
 
@@ -68,15 +71,15 @@
 
 
 def _load_schema() -> Any:
-    text = resources.files("rhubarbbend.schema").joinpath(SCHEMA)
-    with text.open("r", encoding="utf-8") as source:
+    resource = resources.files("rhubarbbend.schema").joinpath(SCHEMA_FILE)
+    with resource.open("r", encoding="utf-8") as source:
         return thriftpy2.load_fp(source, "rhubarbbend_peers_thrift")
 
 
-def _bind(entry: Any, classes: dict[str, type]) -> Any:
-    """Replace the schema's classes in a field's type by the typed messages of the same name."""
+def _bind_type(entry: Any, classes: dict[str, type]) -> Any:
+    """Replace the schema's classes in a field's type by the message classes of the same name."""
     if isinstance(entry, tuple):
-        return tuple(_bind(part, classes) for part in entry)
+        return tuple(_bind_type(part, classes) for part in entry)
     if isinstance(entry, type) and entry.__name__ in classes:
         return classes[entry.__name__]
     return entry
@@ -85,29 +88,36 @@
 def _bind_classes() -> dict[str, type[Message]]:
     schema = _load_schema()
     classes = {
-        name: kind
-        for name, kind in vars(messages).items()
-        if isinstance(kind, type) and issubclass(kind, Message) and kind is not Message
+        name: message_class
+        for name, message_class in vars(messages).items()
+        if isinstance(message_class, type)
+        and issubclass(message_class, Message)
+        and message_class is not Message
     }
-    for name, kind in classes.items():
+    for name, message_class in classes.items():
         spec = getattr(schema, name).thrift_spec
-        kind.thrift_spec = {  # type: ignore[attr-defined]
-            number: _bind(entry, classes) for number, entry in spec.items()
+        message_class.thrift_spec = {  # type: ignore[attr-defined]
+            field_id: _bind_type(entry, classes) for field_id, entry in spec.items()
         }
     Envelope.thrift_spec = {
-        number: _bind(entry, classes) for number, entry in schema.Envelope.thrift_spec.items()
+        field_id: _bind_type(entry, classes)
+        for field_id, entry in schema.Envelope.thrift_spec.items()
     }
     for entry in Envelope.thrift_spec.values():
         if entry[0] == TType.STRUCT:
             setattr(Envelope, entry[1], None)
-    return {kind.FIELD: kind for kind in classes.values() if kind.FIELD}
+    return {
+        message_class.FIELD: message_class
+        for message_class in classes.values()
+        if message_class.FIELD
+    }
 
 
-_FIELDS: Final = _bind_classes()
+_CLASSES_BY_FIELD: Final = _bind_classes()
 
 
 def encode_frame(sender: str, message: Message) -> bytes:
-    """Encode a message as a frame that is not sealed: four bytes of length, then the envelope."""
+    """Encode a message as an unsealed frame: four bytes of length, then the envelope."""
     envelope = Envelope()
     envelope.sender = sender
     setattr(envelope, message.FIELD, message)
@@ -118,9 +128,10 @@
 
 
 def decode_frame(data: bytes) -> tuple[str, Message]:
-    """Decode an envelope without its length, which an instance of the fleet has sealed.
+    """Decode an envelope, without length prefix, and return its sender and message.
 
-    Raises `FrameError` if it is not one message.
+    The seal must have been verified before. Raises `FrameError` if the envelope does not hold a
+    sender and exactly one message.
     """
     envelope = Envelope()
     try:
@@ -128,9 +139,9 @@
     except (ProtocolError, ValueError, EOFError, MemoryError, TypeError, OverflowError) as error:
         raise FrameError(str(error)) from error
     except Exception as error:
-        # The C codec raises transport errors of its own for truncated input.
+        # For truncated input, the C codec raises its own transport errors.
         raise FrameError(f"{type(error).__name__}: {error}") from error
-    found = [getattr(envelope, field) for field in _FIELDS]
+    found = [getattr(envelope, field) for field in _CLASSES_BY_FIELD]
     present = [message for message in found if message is not None]
     if len(present) != 1 or not envelope.sender:
         raise FrameError("expected a sender and exactly one message")
--- a/rhubarbbend/peers/_links.py
+++ b/rhubarbbend/peers/_links.py
@@ -1,8 +1,9 @@
 """Connections between instances.
 
-Each instance sends on connections that it opened and receives on those that others opened. A
-connection can go silent for good while new ones work, so each is proven by a ping every second;
-one whose pong does not come is closed and opened anew at the next message.
+Each instance sends on the connections that it opened and receives on those that others opened. A
+connection can stop delivering permanently while new ones work. Each connection is therefore checked
+with a ping, sent `PING_INTERVAL_S` after the last pong. If the pong does not arrive in time, the
+connection is closed; the next message opens a new one.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
     encode_frame,
 )
 
-PING_INTERVAL: Final = 0.5
-PONG_TIMEOUT: Final = 1.5
-CONNECT_TIMEOUT: Final = 1.0
-RECONNECT_HOLD: Final = 0.5
-# A connection that has carried no message for this long is closed, in seconds: with hundreds of
-# instances in other zones the pings of idle ones would cost more than all that is said.
-IDLE_LIMIT: Final = 15.0
+PING_INTERVAL_S: Final = 0.5
+PONG_TIMEOUT_S: Final = 1.5
+CONNECT_TIMEOUT_S: Final = 1.0
+RECONNECT_BACKOFF_S: Final = 0.5
+# A connection that has carried no message for this long is closed. With hundreds of instances in
+# other zones, pings on idle connections would cost more than all messages.
+IDLE_TIMEOUT_S: Final = 15.0
 MAX_QUEUED_FRAMES: Final = 10_000
 HELLO_BYTES: Final = 32
-# A frame of length zero asks for a pong, a single byte on the way back.
+# A frame of length zero requests a pong, which is a single byte sent back.
 PING: Final = b"\0\0\0\0"
 PONG: Final = b"\1"
 HELLO_CONTEXT: Final = b"rhubarbbend peer hello 1"
@@ -42,12 +43,12 @@
 
 
 def make_hello(secret: bytes) -> bytes:
-    """Make the proof of membership that opens each connection."""
+    """Return the first bytes of each connection, which prove that the sender is of the fleet."""
     return hmac.new(secret, HELLO_CONTEXT, hashlib.blake2b).digest()[:HELLO_BYTES]
 
 
 class PeerListener:
-    """Receives messages of other instances."""
+    """Receive messages from other instances."""
 
     def __init__(self, secret: bytes, on_message: OnMessage, on_bad_frame: OnBadFrame) -> None:
         self._hello = make_hello(secret)
@@ -56,20 +57,20 @@
         self._on_bad_frame = on_bad_frame
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        # Bytes both ways on the connections that others opened.
+        # Bytes sent and received on the connections that others opened.
         self.traffic = 0
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to accept; returns the port in use."""
+        """Start to accept connections; return the port in use."""
         self._server = await asyncio.start_server(self._accept, host, port)
         return int(self._server.sockets[0].getsockname()[1])
 
-    def count_open(self) -> int:
-        """Count the connections that others have opened and not closed."""
+    def count_connections(self) -> int:
+        """Return the number of open connections from other instances."""
         return len(self._tasks)
 
     async def close(self) -> None:
-        """Close the socket and every connection."""
+        """Close the listening socket and every connection."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -91,11 +92,13 @@
             writer.close()
 
     async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        async with asyncio.timeout(CONNECT_TIMEOUT):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             hello = await reader.readexactly(HELLO_BYTES)
         self.traffic += HELLO_BYTES
         if not hmac.compare_digest(hello, self._hello):
-            raise FrameError("not of this fleet")
+            raise FrameError(
+                "connection rejected: its hello does not match the secret of this fleet"
+            )
         while True:
             length = int.from_bytes(await reader.readexactly(4), "big")
             if length == 0:
@@ -103,7 +106,7 @@
                 self.traffic += len(PING) + len(PONG)
                 continue
             if length > MAX_FRAME_BYTES:
-                raise FrameError("frame too large")
+                raise FrameError("frame rejected: its length exceeds MAX_FRAME_BYTES")
             data = await reader.readexactly(length)
             self.traffic += length + 4
             sender, message = decode_frame(self._seal.open(data))
@@ -111,7 +114,7 @@
 
 
 class _Link:
-    """A connection to one peer. Invariant: frames queue only while it is being opened."""
+    """A connection to one peer. Invariant: frames are queued only while it is being opened."""
 
     def __init__(self, links: PeerLinks, peer: str, address: tuple[str, int]) -> None:
         self.peer = peer
@@ -120,11 +123,11 @@
         self._writer: asyncio.StreamWriter | None = None
         self._queue: list[bytes] = []
         self._task: asyncio.Task[None] | None = None
-        self._hold_until = 0.0
+        self._backoff_until = 0.0
         self._sent_at = 0.0
 
     def send(self, frame: bytes) -> None:
-        """Send a frame now, or once the connection is open."""
+        """Send a frame, or queue it until the connection is open."""
         self._sent_at = asyncio.get_running_loop().time()
         if self._writer is not None:
             self._writer.write(frame)
@@ -145,21 +148,22 @@
         writer: asyncio.StreamWriter | None = None
         idle = False
         try:
-            if self._is_held(loop.time()):
+            if self._is_backing_off(loop.time()):
                 return
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.address)
-            opening = self._links.hello + b"".join(self._queue)
-            self._links.traffic += len(opening)
-            writer.write(opening)
+            initial_data = self._links.hello + b"".join(self._queue)
+            self._links.traffic += len(initial_data)
+            writer.write(initial_data)
             self._queue.clear()
             self._writer = writer
             await self._keep_alive(reader, writer)
             idle = True
         except (OSError, TimeoutError):
-            # Set by a failure alone: if each message that is held back put it off again, steady
-            # traffic would keep the connection closed for good after the peer has come back.
-            self._hold_until = loop.time() + RECONNECT_HOLD
+            # Only a failure starts the backoff. If each message sent during the backoff restarted
+            # it, steady traffic would keep the connection closed forever, even after the peer has
+            # recovered.
+            self._backoff_until = loop.time() + RECONNECT_BACKOFF_S
         finally:
             self._writer = None
             self._task = None
@@ -167,57 +171,64 @@
             if writer is not None:
                 writer.transport.abort()
             if not idle:
-                self._links.report_lost(self, len(dropped))
+                self._links.handle_link_closed(self, len(dropped))
 
-    def _is_held(self, now: float) -> bool:
-        return now < self._hold_until
+    def _is_backing_off(self, now: float) -> bool:
+        return now < self._backoff_until
 
     async def _keep_alive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Prove the connection by pings until it has been idle for long."""
+        """Check the connection with pings until it has been idle for the idle timeout.
+
+        Raises `TimeoutError` or `ConnectionError` if a pong does not arrive.
+        """
         loop = asyncio.get_running_loop()
-        while loop.time() - self._sent_at < self._links.idle_limit:
+        while loop.time() - self._sent_at < self._links.idle_timeout:
             writer.write(PING)
             self._links.traffic += len(PING) + len(PONG)
-            async with asyncio.timeout(PONG_TIMEOUT):
+            async with asyncio.timeout(PONG_TIMEOUT_S):
                 if not await reader.read(64):
-                    raise ConnectionError("closed by the peer")
-            await asyncio.sleep(PING_INTERVAL)
+                    raise ConnectionError("connection closed by the peer")
+            await asyncio.sleep(PING_INTERVAL_S)
 
 
 class PeerLinks:
-    """Sends messages to other instances."""
+    """Send messages to other instances.
+
+    `on_lost` is called with the peer's id when a connection fails; `idle_timeout` is in seconds.
+    """
 
     def __init__(
-        self, own_id: str, secret: bytes, on_lost: OnLost, idle_limit: float = IDLE_LIMIT
+        self, own_id: str, secret: bytes, on_lost: OnLost, idle_timeout: float = IDLE_TIMEOUT_S
     ) -> None:
-        self.idle_limit = idle_limit
+        self.idle_timeout = idle_timeout
         self.hello = make_hello(secret)
         self._seal = FrameSeal(secret)
         self._own_id = own_id
         self._on_lost = on_lost
         self._links: dict[str, _Link] = {}
-        # A heartbeat goes to every peer of a zone: it is encoded once.
-        self._last: tuple[Message | None, bytes] = (None, b"")
+        # The last message sent and its frame: a heartbeat to all peers of a zone is encoded once.
+        self._last_encoded: tuple[Message | None, bytes] = (None, b"")
         self._closed = False
-        # Bytes both ways on the connections that this instance opened.
+        # Bytes sent and received on the connections that this instance opened.
         self.traffic = 0
+        # Frames that were queued and not sent, since the runtime last reset the count.
         self.dropped = 0
 
     def send(self, peer: str, address: tuple[str, int], message: Message) -> None:
-        """Send a message; one that cannot be delivered is dropped and the peer reported lost."""
+        """Send a message; if it cannot be sent, drop it and report the peer as lost."""
         link = self._links.get(peer)
         if link is None or link.address != address:
             if link is not None:
                 link.close()
             link = self._links[peer] = _Link(self, peer, address)
-        if self._last[0] is not message:
+        if self._last_encoded[0] is not message:
             envelope = encode_frame(self._own_id, message)
-            self._last = (message, self._seal.close(envelope))
-        frame = self._last[1]
+            self._last_encoded = (message, self._seal.close(envelope))
+        frame = self._last_encoded[1]
         link.send(frame)
 
-    def report_lost(self, link: _Link, dropped: int) -> None:
-        """Take note of a connection that has ended; called by the link."""
+    def handle_link_closed(self, link: _Link, dropped: int) -> None:
+        """Record the dropped frames of a link that has failed, and report its peer as lost."""
         self.dropped += dropped
         if not self._closed and self._links.get(link.peer) is link:
             self._on_lost(link.peer)
--- a/rhubarbbend/schema/peers.thrift
+++ b/rhubarbbend/schema/peers.thrift
@@ -1,12 +1,12 @@
 /**
- * What the instances of one fleet say to one another: one Envelope a frame, a frame being a
- * four-byte big-endian length and the struct in Thrift's binary protocol. Exactly one of the
- * Envelope's message fields is set. Every field has a default, so that an older or newer instance
- * can read what it knows; ids of fields are never used again.
+ * The messages between the instances of a fleet. Each frame holds one Envelope: a four-byte
+ * big-endian length, followed by the struct in Thrift's binary protocol. Exactly one message field
+ * of the Envelope is set. Every field has a default, so that an older or newer instance can read
+ * the fields it knows. Field ids are never reused.
  */
 namespace py rhubarbbend.schema.peers
 
-/** Load of one target as its owner counts it. */
+/** The load of one target, as its owner counts it. */
 struct TargetLoad {
   1: string target = "",
   2: string boot_id = "",
@@ -18,14 +18,14 @@
   8: list<string> models = [],
 }
 
-/** Sum of the load over the targets of one service in one zone. */
+/** The total load over the targets of one service in one availability zone. */
 struct ServiceSum {
   1: string service_name = "",
   2: i32 load = 0,
   3: i32 targets = 0,
 }
 
-/** Sent once a second to each instance of the own zone. */
+/** Sent once a second to each instance of the same availability zone. */
 struct Heartbeat {
   1: string instance = "",
   2: string zone = "",
@@ -35,11 +35,12 @@
   6: list<TargetLoad> loads = [],
   7: string host = "",
   8: i32 peer_port = 0,
-  /** Targets that the sender's list calls leaving. */
+  /** Targets that are marked as leaving in the sender's copy of the platform's list. */
   9: list<string> leaving_targets = [],
 }
 
-/** Asks an instance of another zone for its zone's sums; answered by ZoneReply. */
+/** Requests the load totals of its availability zone from an instance in another one. Answered with
+ * ZoneReply. */
 struct ZoneQuery {
   1: string instance = "",
   2: i64 config_version = 0,
@@ -62,14 +63,15 @@
   2: i32 load = 0,
 }
 
-/** What slot messages carry along; no message by itself. */
+/** The fields that all slot messages carry; not sent by itself. */
 struct SlotMessage {
   1: string target = "",
   2: list<LoadFigure> figures = [],
   3: list<ServiceSum> sums = [],
 }
 
-/** Asks the owner of a target for a slot; waits at most max_wait seconds in its queue. */
+/** Requests a slot from the owner of a target. The request waits at most max_wait seconds in the
+ * owner's queue. */
 struct SlotRequest {
   1: string attempt = "",
   2: string instance = "",
@@ -85,7 +87,7 @@
   21: list<ServiceSum> sums = [],
 }
 
-/** Answer to a SlotRequest. `refusal` is empty when the slot is granted. */
+/** The reply to a SlotRequest. `refusal` is empty if the slot is granted. */
 struct SlotReply {
   1: string attempt = "",
   2: string target = "",
@@ -99,7 +101,7 @@
   21: list<ServiceSum> sums = [],
 }
 
-/** Frees a slot, or withdraws a request for one. */
+/** Releases a slot, or withdraws a request for one. */
 struct SlotRelease {
   1: string attempt = "",
   2: string target = "",
@@ -120,7 +122,8 @@
   3: bool suspect = false,
 }
 
-/** Every slot that an instance holds at a target; sent to the target's owner, old or new. */
+/** Lists every slot that an instance holds at a target. Sent to the target's owner, which may have
+ * changed. */
 struct SlotRenewal {
   1: string instance = "",
   2: i64 incarnation = 0,
@@ -128,7 +131,8 @@
   4: list<HeldSlot> slots = [],
 }
 
-/** The former owner of a target, which has stopped granting, gives its count to the successor. */
+/** Sent by the former owner of a target, which no longer grants slots, to transfer the list of held
+ * slots to its successor. */
 struct Handover {
   1: string target = "",
   2: list<SlotRenewal> holders = [],
@@ -136,14 +140,15 @@
   4: i32 work_done = 0,
 }
 
-/** Asks the holder of a claim what became of its attempt. */
+/** Requests the state of an attempt from the instance that holds the claim. Answered with
+ * ClaimReply. */
 struct ClaimQuery {
   1: string attempt = "",
   2: string key = "",
   3: string instance = "",
 }
 
-/** state: never, running, done, unknown. The outcome comes with done, age with never. */
+/** `state` is never, running, done or unknown. The outcome is set with done, and age with never. */
 struct ClaimReply {
   1: string attempt = "",
   2: string key = "",
@@ -155,7 +160,8 @@
   8: double age = 0,
 }
 
-/** Asks the issuer of a reserved key to run a command under it; answered by ReservedReply. */
+/** Requests that the instance that issued a reserved key runs a command under it. Answered with
+ * ReservedReply. */
 struct ReservedRun {
   1: string request = "",
   2: string instance = "",
@@ -182,7 +188,7 @@
   8: double at = 0,
 }
 
-/** How often a request digest was running when its target crashed. */
+/** How many times a request with this digest was running when its target crashed. */
 struct CrashCount {
   1: string digest = "",
   2: i32 count = 0,
@@ -194,7 +200,7 @@
   1: list<CrashCount> crashes = [],
 }
 
-/** One declaration of the configuration as of a version; removed when value is empty. */
+/** One declaration of the configuration, as of a version. An empty value means it was removed. */
 struct ConfigItem {
   1: string kind = "",
   2: string name = "",
@@ -202,8 +208,9 @@
   4: binary value = "",
 }
 
-/** Asks for what changed after a version; answered by ConfigReply, page by page. The position is
- * that of the last item received, (after + 1, "", "") for the first page. */
+/** Requests the items changed after a version. Answered with ConfigReply, page by page. The cursor
+ * (from_version, from_kind, from_name) is that of the last item received, or (after + 1, "", "")
+ * for the first page. */
 struct ConfigQuery {
   1: string instance = "",
   2: i64 after = 0,
@@ -212,8 +219,8 @@
   5: string from_name = "",
 }
 
-/** A page of the items changed after a version. version is the sender's; it is reached with the
- * page that has no more after it. */
+/** A page of the items changed after a version. `version` is the sender's version; the receiver has
+ * reached it once it has received the page whose `more` is false. */
 struct ConfigReply {
   1: i64 after = 0,
   2: i64 version = 0,
@@ -225,7 +232,7 @@
   8: string from_name = "",
 }
 
-/** Asks a peer whom it knows; used when the platform's list cannot be read. */
+/** Requests the members that a peer knows; used when the platform's list cannot be read. */
 struct MembersQuery {
   1: string instance = "",
 }
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -1,4 +1,4 @@
-"""Peer frames: each message comes back, and what is damaged or forged is never decoded."""
+"""Peer frames: every message survives a round trip, and invalid frames are never decoded."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 
 SECRET = b"a secret of the tests"
 SEAL = FrameSeal(SECRET)
-KINDS = [
-    kind
-    for kind in vars(messages).values()
-    if isinstance(kind, type) and issubclass(kind, Message) and getattr(kind, "FIELD", "")
+MESSAGE_CLASSES = [
+    message_class
+    for message_class in vars(messages).values()
+    if isinstance(message_class, type)
+    and issubclass(message_class, Message)
+    and getattr(message_class, "FIELD", "")
 ]
 FRAMES = [
     SEAL.close(encode_frame("a1", message))
@@ -37,10 +39,12 @@
 BOUNDED = settings(max_examples=300, deadline=None, derandomize=True)
 
 
-@pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.__name__)
-def test_every_message_comes_back(kind: type[Message]) -> None:
-    frame = SEAL.close(encode_frame("a1", kind()))
-    assert decode_frame(SEAL.open(frame[4:])) == ("a1", kind())
+@pytest.mark.parametrize(
+    "message_class", MESSAGE_CLASSES, ids=lambda message_class: message_class.__name__
+)
+def test_every_message_survives_a_round_trip(message_class: type[Message]) -> None:
+    frame = SEAL.close(encode_frame("a1", message_class()))
+    assert decode_frame(SEAL.open(frame[4:])) == ("a1", message_class())
 
 
 @BOUNDED
@@ -78,14 +82,18 @@
         make_hello(SECRET) + FRAMES[2][:20] + b"\x7f\xff\xff\xff" + FRAMES[2][24:],
     ],
 )
-def test_a_listener_closes_on_garbage_and_serves_others(sent: bytes) -> None:
-    """Something that is no instance, or a damaged connection, sends garbage. Its connection is
-    closed and counted at once; an instance's message still comes through."""
-    heard: list[str] = []
-    bad: list[int] = []
-
-    async def work() -> None:
-        listener = PeerListener(SECRET, lambda s, m: heard.append(s), lambda: bad.append(1))
+def test_listener_closes_connection_on_malformed_data_and_serves_others(sent: bytes) -> None:
+    """A sender that is not an instance, or a corrupting connection, sends malformed data.
+
+    The connection must be closed and counted at once, and messages of instances still received.
+    """
+    senders: list[str] = []
+    bad_frames: list[int] = []
+
+    async def scenario() -> None:
+        listener = PeerListener(
+            SECRET, lambda s, m: senders.append(s), lambda: bad_frames.append(1)
+        )
         port = await listener.listen("127.0.0.1", 0)
         async with asyncio.timeout(5.0):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -94,10 +102,10 @@
             writer.close()
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(make_hello(SECRET) + FRAMES[0])
-            while not heard:
+            while not senders:
                 await asyncio.sleep(0.01)
             writer.close()
         await listener.close()
 
-    asyncio.run(work())
-    assert (heard, bad) == (["a1"], [1])
+    asyncio.run(scenario())
+    assert (senders, bad_frames) == (["a1"], [1])
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -1,4 +1,4 @@
-"""Connections between instances: lost, silent and open again."""
+"""Connections between instances: failure, backoff, reconnection and idle timeout."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Receiver:
-    """A listener that keeps the attempts that it was told."""
+    """A listener that records the attempts of the slot requests it receives."""
 
     def __init__(self) -> None:
         self.attempts: list[str] = []
         self.bad = 0
-        self.listener = PeerListener(SECRET, self._take, self._count_bad)
+        self.listener = PeerListener(SECRET, self._record, self._count_bad)
 
-    def _take(self, sender: str, message: Message) -> None:
+    def _record(self, sender: str, message: Message) -> None:
         assert isinstance(message, SlotRequest)
         self.attempts.append(message.attempt)
 
@@ -33,26 +33,26 @@
 async def wait_for(check: Callable[[], bool], timeout: float = 8.0) -> None:
     started = time.monotonic()
     while not check():
-        assert time.monotonic() - started < timeout, "not in time"
+        assert time.monotonic() - started < timeout, "condition not met before the timeout"
         await asyncio.sleep(0.02)
 
 
-def run(work: Callable[[], Awaitable[None]]) -> None:
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
     async def limited() -> None:
         async with asyncio.timeout(20.0):
-            await work()
+            await scenario()
 
     asyncio.run(limited())
 
 
 def test_steady_traffic_does_not_keep_a_link_closed() -> None:
-    """A peer is away while messages to it go on, one every 50 ms, and then comes back.
+    """A peer is down while messages are sent to it every 50 ms, and then restarts.
 
-    After a failure the link is held back for a moment. If each message that finds it so held it
-    back anew, the link would stay closed for as long as there is traffic.
+    After a failure the link backs off for a short time. If each message sent during the backoff
+    restarted it, the link would stay closed for as long as there is traffic.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         receiver = Receiver()
         port = await receiver.listener.listen(HOST, 0)
         await receiver.listener.close()
@@ -75,11 +75,11 @@
         await links.close()
         await back.listener.close()
 
-    run(work)
+    run(scenario)
 
 
-def test_messages_to_a_peer_that_is_away_are_dropped_and_reported_at_once() -> None:
-    async def work() -> None:
+def test_messages_to_an_unreachable_peer_are_dropped_and_reported_at_once() -> None:
+    async def scenario() -> None:
         receiver = Receiver()
         port = await receiver.listener.listen(HOST, 0)
         await receiver.listener.close()
@@ -92,11 +92,11 @@
         assert links.dropped == 2
         await links.close()
 
-    run(work)
+    run(scenario)
 
 
-def test_an_instance_of_another_fleet_is_turned_away() -> None:
-    async def work() -> None:
+def test_an_instance_of_another_fleet_is_rejected() -> None:
+    async def scenario() -> None:
         receiver = Receiver()
         port = await receiver.listener.listen(HOST, 0)
         lost: list[str] = []
@@ -107,18 +107,18 @@
         await links.close()
         await receiver.listener.close()
 
-    run(work)
+    run(scenario)
 
 
-def test_reaches_a_restarted_peer_under_steady_sending() -> None:
-    """A peer is away for a second while a message a 50th of a second goes to it, then is back.
+def test_a_restarted_peer_is_reached_under_steady_sending() -> None:
+    """A peer is down for a second while a message is sent to it every 50th of a second.
 
-    Each failed try puts the next one off for a while. When frames sent in that while put it off
-    once more, the peer was never reached again; it must be within two seconds.
+    Each failed attempt to connect delays the next one. When frames sent during the delay extended
+    it, the restarted peer was never reached again. It must be reached within two seconds.
     """
 
-    async def work() -> None:
-        heard: list[Message] = []
+    async def scenario() -> None:
+        received: list[Message] = []
         port = pick_port()
         links = PeerLinks("a", SECRET, lambda peer: None)
 
@@ -129,33 +129,35 @@
 
         sending = asyncio.create_task(send_steadily())
         await asyncio.sleep(1.0)
-        listener = PeerListener(SECRET, lambda sender, message: heard.append(message), lambda: None)
+        listener = PeerListener(
+            SECRET, lambda sender, message: received.append(message), lambda: None
+        )
         await listener.listen(HOST, port)
         async with asyncio.timeout(2.0):
-            while not heard:
+            while not received:
                 await asyncio.sleep(0.02)
         sending.cancel()
         await links.close()
         await listener.close()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_an_idle_connection_is_closed_without_a_word() -> None:
-    """Nothing is said to a peer for a while; then a message goes to it again.
+def test_closing_an_idle_connection_is_not_reported_as_a_lost_peer() -> None:
+    """No message is sent to a peer for longer than the idle timeout; then one is sent again.
 
-    Pings on connections that say nothing would cost a large fleet more than its messages. Closing
-    one must not look like the loss of the peer, and the next message must arrive.
+    In a large fleet, pings on idle connections would cost more than all messages. Closing an idle
+    connection must not look like the loss of the peer, and the next message must arrive.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         receiver = Receiver()
         port = await receiver.listener.listen(HOST, 0)
         lost: list[str] = []
-        links = PeerLinks("entry-a1", SECRET, lost.append, idle_limit=0.3)
+        links = PeerLinks("entry-a1", SECRET, lost.append, idle_timeout=0.3)
         links.send("entry-b1", (HOST, port), SlotRequest(attempt="1"))
         await wait_for(lambda: receiver.attempts == ["1"])
-        await wait_for(lambda: receiver.listener.count_open() == 0)
+        await wait_for(lambda: receiver.listener.count_connections() == 0)
         assert lost == [] and links.dropped == 0
         links.send("entry-b1", (HOST, port), SlotRequest(attempt="2"))
         await wait_for(lambda: receiver.attempts == ["1", "2"])
@@ -163,4 +165,4 @@
         await links.close()
         await receiver.listener.close()
 
-    run(work)
+    run(scenario)
