--- a/tests/adapter/__init__.py
+++ b/tests/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform's adapter."""
+"""Tests of the adapter to the platform."""
--- a/tests/adapter/test_rows.py
+++ b/tests/adapter/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the operator and the workers: each field is read once, and what is wrong says so."""
+"""Decoding rows of the operator and of targets: used fields, and reports of malformed rows."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from adapter import PlatformDecoder
+from adapter import PlatformStateDecoder
 from rhubarbbend.core.catalog import RequestKind
 from rhubarbbend.core.directory import TargetState
 from rhubarbbend.core.mirror import Change
@@ -48,7 +48,7 @@
     },
     "tenants": [{"name": "pilgrims", "apiKeys": ["k-1", "k-2"], "priority": 0}],
 }
-WORKER = {
+REGISTRATION = {
     "service": "llm-a",
     "address": "10.1.0.9:8080",
     "zone": "almaty-a",
@@ -63,10 +63,10 @@
 
 def decode(table: str, key: str, value: Any) -> list[StateChange]:
     data = None if value is None else msgspec.json.encode(value)
-    return PlatformDecoder().decode(table, [Change(key, data)])
+    return PlatformStateDecoder().decode(table, [Change(key, data)])
 
 
-def test_a_configuration_is_read_into_the_product_s_types() -> None:
+def test_decode_configuration() -> None:
     (change,) = decode("op", "config", CONFIG)
     assert isinstance(change, CatalogRead)
     catalog = change.catalog
@@ -92,13 +92,15 @@
         {"services": None},
     ],
 )
-def test_an_unreadable_configuration_is_named_and_changes_nothing(change: dict[str, Any]) -> None:
-    (found,) = decode("op", "config", {**CONFIG, **change})
-    assert isinstance(found, Unreadable) and found.row == "op/config" and found.reason
+def test_malformed_configuration_yields_only_unreadable(change: dict[str, Any]) -> None:
+    (unreadable,) = decode("op", "config", {**CONFIG, **change})
+    assert (
+        isinstance(unreadable, Unreadable) and unreadable.row == "op/config" and unreadable.reason
+    )
 
 
-def test_a_worker_s_entry_is_read_into_a_target() -> None:
-    (change,) = decode("servers", "i-1", WORKER)
+def test_decode_target_registration() -> None:
+    (change,) = decode("servers", "i-1", REGISTRATION)
     assert isinstance(change, TargetRead)
     record = change.record
     assert (record.id, record.host, record.port) == ("i-1", "10.1.0.9", 8080)
@@ -118,13 +120,15 @@
         {"zone": None},
     ],
 )
-def test_an_entry_that_cannot_be_read_names_no_worker(change: dict[str, Any]) -> None:
-    found = decode("servers", "i-1", {**WORKER, **change})
-    assert isinstance(found[0], Unreadable)
-    assert found[1] == TargetMissing("i-1")
+def test_malformed_registration_yields_unreadable_and_target_missing(
+    change: dict[str, Any],
+) -> None:
+    decoded = decode("servers", "i-1", {**REGISTRATION, **change})
+    assert isinstance(decoded[0], Unreadable)
+    assert decoded[1] == TargetMissing("i-1")
 
 
-def test_rows_that_go_and_zones_that_move() -> None:
+def test_decode_deleted_registrations_zone_evacuations_and_unknown_rows() -> None:
     assert decode("servers", "i-1", None) == [TargetMissing("i-1")]
     assert decode("op", "evacuate/almaty-a", {}) == [ZoneMoved("almaty-a", True)]
     assert decode("op", "evacuate/almaty-a", None) == [ZoneMoved("almaty-a", False)]
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: every field that is used is checked, and the others are left."""
+"""The settings file: used fields are decoded and validated, unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 }
 
 
-def test_fields_are_decoded_into_the_product_s_settings() -> None:
+def test_decode_settings() -> None:
     settings = decode_settings(json.dumps(FILE).encode())
     assert settings.instance == "front-a-1"
     assert settings.callers == ("10.1.0.40", 8227)
@@ -36,7 +36,7 @@
     assert settings.memory == 300 * 1024 * 1024
 
 
-def test_an_instance_may_be_reached_elsewhere_than_it_listens() -> None:
+def test_advertised_address_differs_from_listen_address() -> None:
     file = {**FILE, "advertise": {"control": "10.9.0.1:99"}}
     settings = decode_settings(json.dumps(file).encode())
     assert settings.peers == ("10.1.0.40", 8229)
@@ -44,13 +44,13 @@
     assert decode_settings(json.dumps(FILE).encode()).reached_at == ("10.1.0.40", 8229)
 
 
-def test_an_instance_that_serves_no_control_has_no_address_for_peers() -> None:
+def test_no_peer_address_without_a_control_address() -> None:
     listen = {"front": "10.1.0.40:8227", "ready": "10.1.0.40:8220"}
     assert decode_settings(json.dumps({**FILE, "listen": listen}).encode()).peers is None
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"nodeName": 7}, "nodeName"),
         ({"listen": {"front": "10.1.0.40", "ready": "10.1.0.40:8220"}}, "listen.front"),
@@ -60,12 +60,12 @@
         ({"bounds": {"capFactor": "two"}}, "capFactor"),
     ],
 )
-def test_a_wrong_field_is_named(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(SettingsInvalid, match=named):
+def test_error_names_the_invalid_field(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(SettingsInvalid, match=field):
         decode_settings(json.dumps({**FILE, **change}).encode())
 
 
-def test_a_missing_file_or_variable_is_told(tmp_path: Path) -> None:
+def test_missing_variable_or_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(SettingsInvalid, match="RHUBARBBEND_CONFIG"):
         read_settings({})
     with pytest.raises(SettingsInvalid, match="No such file"):
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the store, against the stand-in in this process."""
+"""The client of the platform's store, run against servers in the same process."""
 
 from __future__ import annotations
 
@@ -9,79 +9,81 @@
 import msgspec
 import pytest
 
-from adapter import TableStore
-from adapter._store import RowsAnswer, WireRow
+from adapter import PlatformRowStore
+from adapter._store import RowsResponse, WireRow
 from rhubarbbend.storage import RowChanged, StoreError
 from standins._tables import Tables
 
-# A table of 100 KB as it comes over a narrow link: this many bytes each so many seconds, 1.3 s in
-# all, which is longer than the store may be silent.
-PART, PAUSE = 8_192, 0.1
+# Simulates a slow link: one chunk per pause. A table of 100 KB takes 1.3 s in total, which is
+# longer than the time for which the store may send no data.
+CHUNK_BYTES, PAUSE_S = 8_192, 0.1
 
 
-async def serve_slowly(body: bytes, stop_after: int | None = None) -> asyncio.Server:
-    """Answer every request with a body that comes in parts; may fall silent midway."""
+async def start_slow_server(body: bytes, stall_after: int | None = None) -> asyncio.Server:
+    """Answer every request with `body` in chunks; send no more data after `stall_after` bytes."""
 
-    async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-        for start in range(0, len(body), PART):
-            if stop_after is not None and start >= stop_after:
+        for start in range(0, len(body), CHUNK_BYTES):
+            if stall_after is not None and start >= stall_after:
                 await reader.read()
                 return
-            await asyncio.sleep(PAUSE)
-            writer.write(body[start : start + PART])
+            await asyncio.sleep(PAUSE_S)
+            writer.write(body[start : start + CHUNK_BYTES])
 
-    return await asyncio.start_server(accept, "127.0.0.1", 0)
+    return await asyncio.start_server(handle_connection, "127.0.0.1", 0)
 
 
 def make_large_table() -> bytes:
     row = WireRow("config", 7, base64.b64encode(b"x" * 75_000).decode())
-    return msgspec.json.encode(RowsAnswer([row], 7))
+    return msgspec.json.encode(RowsResponse([row], 7))
 
 
 @pytest.mark.parametrize("feed", [False, True])
-def test_a_large_row_is_read_over_a_narrow_link(feed: bool) -> None:
-    # A configuration of many routes takes longer than a second to an instance with a narrow link.
-    # Given up after a second and begun anew, it never came: the instance refused every caller.
-    async def work() -> None:
-        server = await serve_slowly(make_large_table())
-        store = TableStore(server.sockets[0].getsockname())
+def test_large_row_is_read_over_slow_link(feed: bool) -> None:
+    # A configuration with many routes takes more than a second to reach an instance over a slow
+    # link. With a limit of one second on the whole response each try was aborted and started again,
+    # so the instance never got its configuration and refused every caller.
+    async def run() -> None:
+        server = await start_slow_server(make_large_table())
+        store = PlatformRowStore(server.sockets[0].getsockname())
         page = await (store.follow_table("op", 1, 0.0) if feed else store.read_table("op"))
         assert [len(row.value or b"") for row in page.rows] == [75_000]
         server.close()
 
-    asyncio.run(asyncio.wait_for(work(), 10.0))
+    asyncio.run(asyncio.wait_for(run(), 10.0))
 
 
-def test_a_store_that_falls_silent_midway_is_given_up() -> None:
-    async def work() -> None:
-        server = await serve_slowly(make_large_table(), stop_after=2 * PART)
-        store = TableStore(server.sockets[0].getsockname())
-        began = time.monotonic()
+def test_response_that_stalls_midway_fails() -> None:
+    async def run() -> None:
+        server = await start_slow_server(make_large_table(), stall_after=2 * CHUNK_BYTES)
+        store = PlatformRowStore(server.sockets[0].getsockname())
+        started_at = time.monotonic()
         with pytest.raises(StoreError):
             await store.read_table("op")
-        assert time.monotonic() - began < 2.0
+        assert time.monotonic() - started_at < 2.0
         server.close()
 
-    asyncio.run(asyncio.wait_for(work(), 10.0))
+    asyncio.run(asyncio.wait_for(run(), 10.0))
 
 
-def test_a_row_is_dropped_only_as_the_version_that_is_named() -> None:
-    # A row was judged to be of a lost instance, which then writes it anew. If it were dropped all
-    # the same, the instance would share the bounds uncounted until it noticed.
-    async def work() -> None:
+def test_row_is_deleted_only_at_the_given_version() -> None:
+    # An instance decides to delete the row of another one that seems lost, but that one writes its
+    # row again first. If the row were deleted anyway, the live instance would use its share of the
+    # fleet's limits without being counted, until it noticed that its row is gone.
+    async def run() -> None:
         port = await Tables().listen("127.0.0.1", 0)
-        store = TableStore(("127.0.0.1", port))
+        store = PlatformRowStore(("127.0.0.1", port))
         await store.put_row("instances", "front-0", b"first")
-        judged = (await store.read_table("instances")).rows[0]
+        outdated = (await store.read_table("instances")).rows[0]
         await store.put_row("instances", "front-0", b"again")
         with pytest.raises(RowChanged):
-            await store.remove_row("instances", "front-0", judged.version)
-        present = (await store.read_table("instances")).rows[0]
-        assert present.value == b"again"
-        await store.remove_row("instances", "front-0", present.version)
+            await store.remove_row("instances", "front-0", outdated.version)
+        current = (await store.read_table("instances")).rows[0]
+        assert current.value == b"again"
+        await store.remove_row("instances", "front-0", current.version)
         assert (await store.read_table("instances")).rows == []
         store.reset()
 
-    asyncio.run(asyncio.wait_for(work(), 10.0))
+    asyncio.run(asyncio.wait_for(run(), 10.0))
