--- a/rhubarbbend/settings/__init__.py
+++ b/rhubarbbend/settings/__init__.py
@@ -1,4 +1,7 @@
-"""Settings of one instance: a TOML file decoded into typed objects, with every error at once."""
+"""Settings of one instance, decoded from a TOML file into typed objects.
+
+An invalid file is rejected as a whole, with all of its errors in one report.
+"""
 
 from rhubarbbend.settings._decode import SettingError, SettingsInvalid, decode_toml, load_settings
 from rhubarbbend.settings._types import (
--- a/rhubarbbend/settings/_checks.py
+++ b/rhubarbbend/settings/_checks.py
@@ -1,4 +1,8 @@
-"""Checks of settings that concern more than one field, or a plug-in's name."""
+"""Checks of decoded settings that a validator of a single field cannot make.
+
+They compare several fields with each other, check the ranges of the core's options, and check
+that the named platform client exists.
+"""
 
 from __future__ import annotations
 
@@ -12,32 +16,36 @@
 from rhubarbbend.settings._types import Settings
 from rhubarbbend.storage import PLATFORMS
 
-# Options of the core for which 0 means "none".
-MAY_BE_ZERO: Final = frozenset(
+# Options of the core that accept 0, which means "none"; all others must be above 0.
+OPTIONS_ALLOWING_ZERO: Final = frozenset(
     {"balancer_lag", "stop_limit", "retry_share", "retry_reserve", "max_resumes", "list_grace"}
 )
+# The key of a setting and what is wrong with its value.
 Problem = tuple[str, str]
 
 
 def find_problems(settings: Settings) -> list[Problem]:
-    """List keys and what is wrong with them."""
+    """Return every problem found as a pair of the setting's key and a description."""
     return [
         *_check_core(settings.core),
         *_check_ports(settings),
         *_check_seeds(settings),
-        *_check_kind(settings),
+        *_check_platform_kind(settings),
     ]
 
 
 def _check_core(options: CoreOptions) -> Iterator[Problem]:
-    """An interval of zero would keep the loop busy; a negative time-out fails every call."""
+    """Check that every number is finite and positive, or at least 0 where 0 means "none".
+
+    An interval of 0 would make the event loop spin, and a negative timeout would fail every call.
+    """
     for field in attrs.fields(CoreOptions):
         value = getattr(options, field.name)
         if isinstance(value, bool) or not isinstance(value, int | float):
             continue
-        if field.name in MAY_BE_ZERO and not 0 <= value < math.inf:
+        if field.name in OPTIONS_ALLOWING_ZERO and not 0 <= value < math.inf:
             yield f"core.{field.name}", f"expected a number of at least 0, got {value!r}"
-        elif field.name not in MAY_BE_ZERO and not 0 < value < math.inf:
+        elif field.name not in OPTIONS_ALLOWING_ZERO and not 0 < value < math.inf:
             yield f"core.{field.name}", f"expected a number above 0, got {value!r}"
     if options.peer_silence <= options.heartbeat_interval:
         yield (
@@ -48,11 +56,11 @@
 
 
 def _check_ports(settings: Settings) -> Iterator[Problem]:
-    own = settings.instance
-    taken: dict[int, str] = {}
+    instance = settings.instance
+    names_by_port: dict[int, str] = {}
     for name in ("http_port", "peer_port", "operator_port"):
-        port = getattr(own, name)
-        other = taken.setdefault(port, name)
+        port = getattr(instance, name)
+        other = names_by_port.setdefault(port, name)
         if other != name and port:
             yield f"instance.{name}", f"expected another port than instance.{other}, got {port}"
 
@@ -63,7 +71,7 @@
             yield f"seeds[{index}].id", f"expected another instance, got {seed.id!r}"
 
 
-def _check_kind(settings: Settings) -> Iterator[Problem]:
+def _check_platform_kind(settings: Settings) -> Iterator[Problem]:
     known = PLATFORMS.list_names()
     if settings.platform.kind not in known:
         expected = ", ".join(known)
--- a/rhubarbbend/settings/_decode.py
+++ b/rhubarbbend/settings/_decode.py
@@ -1,4 +1,8 @@
-"""Decodes TOML into typed objects and reports every error of a file at once."""
+"""Decodes TOML files into typed objects and reports all errors of a file together.
+
+`cattrs` converts the parsed TOML into attrs classes. Its nested exceptions are flattened into one
+`SettingError` per key.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 @attrs.define(slots=True, frozen=True)
 class SettingError:
-    """One error: the file, the key's path in it, what was found and what was expected."""
+    """One error in a file: its path, the path of the key, and the value found and expected."""
 
     file: str
     key: str
@@ -36,37 +40,37 @@
 
 
 class SettingsInvalid(Exception):
-    """A file that cannot be used; carries every error in it."""
+    """A settings or declaration file is invalid; `errors` holds every error found."""
 
     def __init__(self, errors: list[SettingError]) -> None:
         super().__init__("\n".join(str(error) for error in errors))
         self.errors = errors
 
 
-def _expect(value: object, kinds: tuple[type, ...], name: str) -> None:
-    # bool is an int to Python, which would let `port = true` through.
-    wrong_bool = isinstance(value, bool) and bool not in kinds
-    if wrong_bool or not isinstance(value, kinds):
-        raise ValueError(f"expected {name}, got {value!r}")
+def _check_type(value: object, types: tuple[type, ...], description: str) -> None:
+    # bool is a subclass of int, so a plain isinstance check would accept `port = true`.
+    is_unexpected_bool = isinstance(value, bool) and bool not in types
+    if is_unexpected_bool or not isinstance(value, types):
+        raise ValueError(f"expected {description}, got {value!r}")
 
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
 
     def read_int(value: object, _: type) -> int:
-        _expect(value, (int,), "an integer")
+        _check_type(value, (int,), "an integer")
         return value  # type: ignore[return-value]
 
     def read_float(value: object, _: type) -> float:
-        _expect(value, (int, float), "a number")
+        _check_type(value, (int, float), "a number")
         return float(value)  # type: ignore[arg-type]
 
     def read_str(value: object, _: type) -> str:
-        _expect(value, (str,), "a string")
+        _check_type(value, (str,), "a string")
         return value  # type: ignore[return-value]
 
     def read_bool(value: object, _: type) -> bool:
-        _expect(value, (bool,), "true or false")
+        _check_type(value, (bool,), "true or false")
         return value  # type: ignore[return-value]
 
     converter.register_structure_hook(int, read_int)
@@ -79,18 +83,18 @@
 _CONVERTER = _make_converter()
 
 
-def _collect(error: BaseException, file: str, key: str) -> list[SettingError]:
-    """Walk the converter's nested errors, building the path of each key."""
+def _collect_errors(error: BaseException, file: str, key: str) -> list[SettingError]:
+    """Flatten the converter's nested exceptions into one error for each key, with its path."""
     if isinstance(error, ClassValidationError | IterableValidationError):
-        with_notes, without = error.group_exceptions()
-        found: list[SettingError] = []
+        with_notes, without_notes = error.group_exceptions()
+        errors: list[SettingError] = []
         for inner, note in with_notes:
-            found.extend(_collect(inner, file, _extend_key(key, note)))
-        for inner in without:
-            found.extend(_collect(inner, file, key))
-        return found
+            errors.extend(_collect_errors(inner, file, _extend_key(key, note)))
+        for inner in without_notes:
+            errors.extend(_collect_errors(inner, file, key))
+        return errors
     if isinstance(error, ForbiddenExtraKeysError):
-        known = ", ".join(sorted(a.name for a in attrs.fields(error.cl)))
+        known = ", ".join(sorted(field.name for field in attrs.fields(error.cl)))
         return [
             SettingError(file, f"{key}.{name}".lstrip("."), f"unknown key; expected one of {known}")
             for name in sorted(error.extra_fields)
@@ -108,29 +112,31 @@
     return f"{key}.{note.name}" if key else note.name
 
 
-def _run_validators(data: object, kind: type, file: str, key: str) -> list[SettingError]:
-    """Run the field validators on raw values.
+def _run_validators(data: object, settings_class: type, file: str, key: str) -> list[SettingError]:
+    """Run the field validators of a class and of the classes nested in it on undecoded values.
 
-    The converter runs them only on objects whose fields all have the right type, so that a wrong
-    type in one key would hide a wrong value in the next.
+    attrs runs validators only when it constructs an object, which needs all fields of the right
+    type. A wrong type in one key would then hide an invalid value in another.
     """
-    if not isinstance(data, dict) or not attrs.has(kind):
+    if not isinstance(data, dict) or not attrs.has(settings_class):
         return []
-    found: list[SettingError] = []
-    for field in attrs.fields(attrs.resolve_types(kind)):
+    errors: list[SettingError] = []
+    for field in attrs.fields(attrs.resolve_types(settings_class)):
         if field.name not in data:
             continue
         value = data[field.name]
         path = f"{key}.{field.name}" if key else field.name
-        found.extend(_run_validator(value, field, file, path))
+        errors.extend(_run_validator(value, field, file, path))
         if isinstance(value, list):
-            inner = get_args(field.type)
+            element_types = get_args(field.type)
             for index, entry in enumerate(value):
-                if inner:
-                    found.extend(_run_validators(entry, inner[0], file, f"{path}[{index}]"))
+                if element_types:
+                    errors.extend(
+                        _run_validators(entry, element_types[0], file, f"{path}[{index}]")
+                    )
         elif isinstance(field.type, type):
-            found.extend(_run_validators(value, field.type, file, path))
-    return found
+            errors.extend(_run_validators(value, field.type, file, path))
+    return errors
 
 
 def _run_validator(
@@ -143,36 +149,42 @@
     except ValueError as error:
         return [SettingError(file, path, str(error))]
     except (TypeError, AttributeError):
-        # The converter has reported a wrong type already.
+        # The value has the wrong type, which the converter reports.
         return []
     return []
 
 
-def _structure(data: dict[str, object], file: str, kind: type[T]) -> T:
-    invalid = _run_validators(data, kind, file, "")
+def _structure(data: dict[str, object], file: str, settings_class: type[T]) -> T:
+    invalid_values = _run_validators(data, settings_class, file, "")
     with attrs.validators.disabled():
         try:
-            structured = _CONVERTER.structure(data, kind)
+            structured = _CONVERTER.structure(data, settings_class)
         except BaseValidationError as error:
-            raise SettingsInvalid([*_collect(error, file, ""), *invalid]) from error
-    if invalid:
-        raise SettingsInvalid(invalid)
+            raise SettingsInvalid([*_collect_errors(error, file, ""), *invalid_values]) from error
+    if invalid_values:
+        raise SettingsInvalid(invalid_values)
     return structured
 
 
-def decode_toml(path: Path, kind: type[T]) -> T:
-    """Decode a TOML file into an attrs class; raises `SettingsInvalid` with every error."""
+def decode_toml(path: Path, settings_class: type[T]) -> T:
+    """Decode a TOML file into an instance of an attrs class.
+
+    Raises `SettingsInvalid` with every error if the file cannot be read or does not fit the class.
+    """
     try:
         data = tomllib.loads(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsInvalid([SettingError(str(path), "(file)", str(error))]) from error
     except tomllib.TOMLDecodeError as error:
         raise SettingsInvalid([SettingError(str(path), "(syntax)", str(error))]) from error
-    return _structure(data, str(path), kind)
+    return _structure(data, str(path), settings_class)
 
 
 def load_settings(path: Path) -> tuple[Settings, bytes]:
-    """Load an instance's settings and the fleet's secret; raises `SettingsInvalid`."""
+    """Return the settings of an instance and the fleet's secret.
+
+    Raises `SettingsInvalid` with every error if the file, a setting or a secret is invalid.
+    """
     settings = decode_toml(path, Settings)
     errors = [SettingError(str(path), key, problem) for key, problem in find_problems(settings)]
     secret = b""
--- a/rhubarbbend/settings/_types.py
+++ b/rhubarbbend/settings/_types.py
@@ -1,4 +1,8 @@
-"""The typed settings. Each field is one key of the TOML file; a default makes it optional."""
+"""The typed settings. Each field is one key of the TOML file, optional if it has a default.
+
+Each class is one table of the file. Field validators check single values; `_checks` checks what
+concerns several fields.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +16,14 @@
 
 from rhubarbbend.core import CoreOptions
 
-LEAST_SECRET_BYTES: Final = 16
+MIN_SECRET_BYTES: Final = 16
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Read "host:port"; raises ValueError if it is not that."""
+    """Return the host and port of "host:port".
+
+    Raises ValueError if the host is empty or the port is not a number from 1 to 65535.
+    """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(f"expected host:port, got {text!r}")
@@ -32,18 +39,18 @@
         raise ValueError(f"expected a port from 0 to 65535, got {value!r}")
 
 
-def _check_filled(instance: object, attribute: attrs.Attribute[str], value: str) -> None:
+def _check_name(instance: object, attribute: attrs.Attribute[str], value: str) -> None:
     if not value or "/" in value or "|" in value:
         raise ValueError(f"expected a name without '/' and '|', got {value!r}")
 
 
 def _check_positive(instance: object, attribute: attrs.Attribute[Any], value: float) -> None:
-    # Written so that TOML's nan fails too.
+    # A negated comparison, because every comparison with nan is false and TOML allows nan.
     if not 0 < value < math.inf:
         raise ValueError(f"expected a number above 0, got {value!r}")
 
 
-def _check_host(instance: object, attribute: attrs.Attribute[str], value: str) -> None:
+def _check_ip_address(instance: object, attribute: attrs.Attribute[str], value: str) -> None:
     try:
         ipaddress.ip_address(value)
     except ValueError as error:
@@ -52,17 +59,17 @@
 
 @attrs.define(slots=True, frozen=True)
 class InstanceSettings:
-    """Who the instance is and where it listens."""
-
-    # The name by which the platform's list knows it; unique in the fleet.
-    id: str = attrs.field(validator=_check_filled)
-    # The availability zone it runs in.
-    zone: str = attrs.field(validator=_check_filled)
-    # The IP number that it listens on and that peers reach it by.
-    host: str = attrs.field(validator=_check_host)
-    # Port for callers and for the balancer's checks.
+    """The identity of the instance and the addresses on which it listens."""
+
+    # The instance's id in the platform's member list; unique in the fleet.
+    id: str = attrs.field(validator=_check_name)
+    # The availability zone in which it runs.
+    zone: str = attrs.field(validator=_check_name)
+    # The IP address on which it listens and at which its peers connect to it.
+    host: str = attrs.field(validator=_check_ip_address)
+    # Port for callers' requests and the load balancer's health checks.
     http_port: int = attrs.field(validator=_check_port)
-    # Port for the other instances.
+    # Port for connections from other instances.
     peer_port: int = attrs.field(validator=_check_port)
     # Port for operators' remote procedure calls.
     operator_port: int = attrs.field(validator=_check_port)
@@ -70,87 +77,91 @@
 
 @attrs.define(slots=True, frozen=True)
 class PlatformSettings:
-    """How to reach the platform's services."""
+    """How to connect to the platform's services."""
 
     # "host:port" of the platform.
     address: str = attrs.field(validator=_check_address)
-    # The platform client plug-in.
+    # Name of the platform client plug-in.
     kind: str = "http"
-    # Seconds after which a call counts as failed.
+    # Timeout of a call in seconds.
     timeout: float = attrs.field(default=0.5, validator=_check_positive)
 
 
 @attrs.define(slots=True, frozen=True)
 class SecretSettings:
-    """Where the fleet's secret is; it signs tickets and reserved keys. Give one of the two."""
+    """Where to read the fleet's secret, which signs tickets and reserved keys.
+
+    Exactly one of the two fields must be set.
+    """
 
-    # A file that holds it.
+    # Path of a file that holds the secret.
     file: str = ""
-    # An environment variable that holds it.
+    # Name of an environment variable that holds the secret.
     env: str = ""
 
 
 @attrs.define(slots=True, frozen=True)
 class OperatorSettings:
-    """Where the secret of the operators is, from which their key is derived.
+    """Where to read the operators' secret, from which their key is derived.
 
-    Give at most one; with none it is the fleet's secret. A secret of their own lets operators do
-    their work without a secret that also signs tickets and reserved keys and admits instances.
+    At most one field may be set; without one, the fleet's secret is used. With a separate secret,
+    operators do not need to hold the fleet's secret, which also signs tickets and reserved keys and
+    admits instances to the fleet.
     """
 
-    # A file that holds it.
+    # Path of a file that holds the secret.
     file: str = ""
-    # An environment variable that holds it.
+    # Name of an environment variable that holds the secret.
     env: str = ""
 
 
 @attrs.define(slots=True, frozen=True)
 class SeedSettings:
-    """An instance to ask at a start while the platform is away."""
+    """An instance to contact at startup if the platform is unreachable."""
 
-    id: str = attrs.field(validator=_check_filled)
-    zone: str = attrs.field(validator=_check_filled)
-    # "host:port" of its peer port.
+    id: str = attrs.field(validator=_check_name)
+    zone: str = attrs.field(validator=_check_name)
+    # Its peer port, as "host:port".
     address: str = attrs.field(validator=_check_address)
 
 
 @attrs.define(slots=True, frozen=True)
 class StatsdSettings:
-    """Where counters go; no host: nowhere."""
+    """Where to send counters by the StatsD protocol; an empty host disables sending."""
 
     host: str = ""
     port: int = attrs.field(default=8125, validator=_check_port)
     prefix: str = "rhubarbbend"
-    # Seconds between sends; counters are summed in between.
+    # Seconds between two sends; increments are aggregated in between.
     interval: float = attrs.field(default=1.0, validator=_check_positive)
 
 
 @attrs.define(slots=True, frozen=True)
 class LogSettings:
-    """Where log lines go: a file, or "-" for standard error."""
+    """Where to write log lines: the path of a file, or "-" for standard error."""
 
     file: str = "-"
 
 
 @attrs.define(slots=True, frozen=True)
 class LimitSettings:
-    """What callers may cost; sizes in bytes, times in seconds."""
+    """Limits on callers' requests and connections; sizes in bytes, times in seconds."""
 
     max_header_bytes: int = attrs.field(default=32_768, validator=_check_positive)
     max_body_bytes: int = attrs.field(default=4 * 1024 * 1024, validator=_check_positive)
     head_timeout: float = attrs.field(default=10.0, validator=_check_positive)
     body_timeout: float = attrs.field(default=30.0, validator=_check_positive)
     max_connections: int = attrs.field(default=4_096, validator=_check_positive)
-    # Deadline of a request that names none.
+    # Deadline of a request that does not set one.
     default_deadline: float = attrs.field(default=60.0, validator=_check_positive)
     max_deadline: float = attrs.field(default=600.0, validator=_check_positive)
-    # How long a connection to a target may idle before it is closed.
+    # Idle time after which a connection to a target is closed.
     target_idle: float = attrs.field(default=5.0, validator=_check_positive)
 
 
 @attrs.define(slots=True, frozen=True)
 class RecordSettings:
-    """Recording of events for replay; no file: none."""
+    """Recording of events for replay; an empty path disables it."""
 
     file: str = ""
     max_bytes: int = attrs.field(default=64 * 1024 * 1024, validator=_check_positive)
@@ -158,7 +169,7 @@
 
 @attrs.define(slots=True, frozen=True)
 class Settings:
-    """The whole settings file."""
+    """The top level of the settings file: one field for each table."""
 
     instance: InstanceSettings
     platform: PlatformSettings
@@ -169,12 +180,16 @@
     log: LogSettings = attrs.Factory(LogSettings)
     limits: LimitSettings = attrs.Factory(LimitSettings)
     record: RecordSettings = attrs.Factory(RecordSettings)
-    # Intervals and time-outs of the decisions.
+    # Intervals, timeouts and limits of the core, which makes the routing decisions.
     core: CoreOptions = attrs.Factory(CoreOptions)
 
 
 def read_secret(settings: SecretSettings | OperatorSettings, section: str = "secret") -> bytes:
-    """Read a secret; raises ValueError naming the setting, never the secret."""
+    """Read a secret from the configured file or environment variable.
+
+    Raises ValueError if it cannot be read or is too short. The message names the setting in
+    `section` and never contains the secret.
+    """
     if bool(settings.file) == bool(settings.env):
         raise ValueError(f"expected exactly one of {section}.file and {section}.env")
     if settings.env:
@@ -186,13 +201,16 @@
         except OSError as error:
             raise ValueError(f"cannot read {settings.file}: {error.strerror}") from error
         source = f"file {settings.file}"
-    if len(value) < LEAST_SECRET_BYTES:
-        raise ValueError(f"expected at least {LEAST_SECRET_BYTES} bytes in {source}")
+    if len(value) < MIN_SECRET_BYTES:
+        raise ValueError(f"expected at least {MIN_SECRET_BYTES} bytes in {source}")
     return value
 
 
 def read_operator_secret(settings: OperatorSettings, fleet_secret: bytes) -> bytes:
-    """Read the operators' secret, which is the fleet's if none is set."""
+    """Return the operators' secret, or the fleet's secret if none is configured.
+
+    Raises ValueError if the configured secret cannot be read or is too short.
+    """
     if not settings.file and not settings.env:
         return fleet_secret
     return read_secret(settings, "operators")
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every error at once, and secrets that stay secret."""
+"""Tests that every error in a settings file is reported and that no output shows a secret."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 [secret]
 env = "FLEET_SECRET"
 """
-WRONG = """
+INVALID = """
 [instance]
 id = "e/1"
 zone = ""
@@ -47,11 +47,13 @@
 
 
 @pytest.fixture
-def secret(monkeypatch: pytest.MonkeyPatch) -> None:
+def fleet_secret(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("FLEET_SECRET", SECRET)
 
 
-def check(tmp_path: Path, text: str, capsys: pytest.CaptureFixture[str]) -> tuple[int, str]:
+def run_check_settings(
+    tmp_path: Path, text: str, capsys: pytest.CaptureFixture[str]
+) -> tuple[int, str]:
     path = tmp_path / "instance.toml"
     path.write_text(text, "utf-8")
     status = main(["check-settings", str(path)])
@@ -60,16 +62,18 @@
     return status, output.out + output.err
 
 
-def test_valid_settings(tmp_path: Path, capsys: pytest.CaptureFixture[str], secret: None) -> None:
-    assert check(tmp_path, VALID, capsys)[0] == ExitStatus.DONE
+def test_valid_settings_are_accepted(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], fleet_secret: None
+) -> None:
+    assert run_check_settings(tmp_path, VALID, capsys)[0] == ExitStatus.DONE
 
 
-def test_every_error_is_told_with_file_key_value_and_expectation(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], secret: None
+def test_every_error_is_reported_with_file_key_value_and_expectation(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], fleet_secret: None
 ) -> None:
-    status, told = check(tmp_path, WRONG, capsys)
+    status, printed = run_check_settings(tmp_path, INVALID, capsys)
     assert status == ExitStatus.USAGE
-    for words in (
+    for message in (
         "instance.toml: instance.id: expected a name without '/' and '|', got 'e/1'",
         "instance.zone: expected a name",
         "instance.host: expected an IP number, got 'localhost'",
@@ -83,11 +87,11 @@
         "limits.max_body_bytes: expected a number above 0, got 0",
         "seeds[0].address: expected host:port, got 'x:y'",
     ):
-        assert words in told, f"{words}\n{told}"
+        assert message in printed, f"{message}\n{printed}"
 
 
-def test_what_concerns_several_keys_is_told_at_once_too(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], secret: None
+def test_errors_that_concern_several_keys_are_all_reported(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], fleet_secret: None
 ) -> None:
     text = VALID.replace("1003", "1001").replace("FLEET_SECRET", "NOT_SET")
     text += (
@@ -97,9 +101,9 @@
     )
     text = text.replace('address = "127.0.0.1:900"', 'address = "127.0.0.1:900"\nkind = "paper"')
     text = text.replace('kind = "x"\n', "")
-    status, told = check(tmp_path, text, capsys)
+    status, printed = run_check_settings(tmp_path, text, capsys)
     assert status == ExitStatus.USAGE
-    for words in (
+    for message in (
         "core.heartbeat_interval: expected a number above 0, got -1",
         "core.peer_silence: expected a number above 0, got inf",
         "core.max_attempts: expected a number above 0, got 0",
@@ -108,35 +112,35 @@
         "platform.kind: expected one of http, got 'paper'",
         "secret: expected at least 16 bytes in environment variable NOT_SET",
     ):
-        assert words in told, f"{words}\n{told}"
+        assert message in printed, f"{message}\n{printed}"
 
 
-def test_a_short_or_doubled_secret_is_refused_without_showing_it(
+def test_a_secret_that_is_short_or_given_twice_is_rejected_without_showing_it(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("FLEET_SECRET", "tiny-word")
-    status, told = check(tmp_path, VALID, capsys)
-    assert status == ExitStatus.USAGE and "tiny-word" not in told
+    status, printed = run_check_settings(tmp_path, VALID, capsys)
+    assert status == ExitStatus.USAGE and "tiny-word" not in printed
     both = VALID.replace('env = "FLEET_SECRET"', 'env = "FLEET_SECRET"\nfile = "/x"')
-    status, told = check(tmp_path, both, capsys)
-    assert "expected exactly one of secret.file and secret.env" in told
+    status, printed = run_check_settings(tmp_path, both, capsys)
+    assert "expected exactly one of secret.file and secret.env" in printed
 
 
-def test_operators_may_have_a_secret_of_their_own(
-    tmp_path: Path, secret: None, monkeypatch: pytest.MonkeyPatch
+def test_operators_can_have_a_separate_secret(
+    tmp_path: Path, fleet_secret: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Operators' machines should not hold what admits instances and signs reserved keys."""
+    """Operators' machines need not hold the fleet's secret, which also admits instances."""
     path = tmp_path / "instance.toml"
     path.write_text(VALID, "utf-8")
-    settings, fleet = load_settings(path)
-    assert read_operator_secret(settings.operators, fleet) == fleet == SECRET.encode()
+    settings, secret = load_settings(path)
+    assert read_operator_secret(settings.operators, secret) == secret == SECRET.encode()
     monkeypatch.setenv("OPERATOR_SECRET", "another-secret-word")
     path.write_text(VALID + '[operators]\nenv = "OPERATOR_SECRET"\n', "utf-8")
-    settings, fleet = load_settings(path)
-    assert read_operator_secret(settings.operators, fleet) == b"another-secret-word"
+    settings, secret = load_settings(path)
+    assert read_operator_secret(settings.operators, secret) == b"another-secret-word"
 
 
-def test_help_and_settings_show_no_secret(tmp_path: Path, secret: None) -> None:
+def test_help_and_settings_show_no_secret(tmp_path: Path, fleet_secret: None) -> None:
     path = tmp_path / "instance.toml"
     path.write_text(VALID, "utf-8")
     settings, _ = load_settings(path)
