--- a/rhubarbbend/__init__.py
+++ b/rhubarbbend/__init__.py
@@ -1,4 +1,7 @@
-"""A router fleet that sends returning chats to the target that still holds their context."""
+"""A router fleet between callers and back ends, which are model engines and plain services.
+
+It routes the requests of a chat to the target that still has the chat's context in its cache.
+"""
 
 from typing import Final
 
--- a/rhubarbbend/__main__.py
+++ b/rhubarbbend/__main__.py
@@ -1,4 +1,8 @@
-"""The program `rhubarbbend`."""
+"""The entry point of the program `rhubarbbend`.
+
+The command line is imported only after SIGTERM is handled, because loading it takes time in which
+the process may already be told to stop.
+"""
 
 from __future__ import annotations
 
--- a/rhubarbbend/cli/_explain.py
+++ b/rhubarbbend/cli/_explain.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request from the logs of the instances that it met."""
+"""Builds the timeline of one request from the logs of the instances that handled it."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import msgspec
 
-# What an instance came to believe this long before the request's first line is shown with it:
-# the longest time for which a change can still be on its way to an instance, with some room.
-CONTEXT_SECONDS: Final = 3.0
-# Fields that stand at the beginning of a line of the story, or in its place in time.
-FRAME: Final = frozenset({"event", "time", "mono", "instance", "id"})
+# Log lines about no request are included from this long before the request's first line. It is the
+# longest time that a change can take to reach an instance, plus a margin.
+CONTEXT_S: Final = 3.0
+# Fields that a line of the timeline shows in its prefix or by its position, not among the others.
+PREFIX_FIELDS: Final = frozenset({"event", "time", "mono", "instance", "id"})
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One line of a log; `time` is Unix time as its instance saw it."""
+    """One line of a log; `time` is in Unix seconds by the clock of its instance."""
 
     event: str
     time: float
@@ -25,15 +25,16 @@
 
     @property
     def request(self) -> str:
-        """The id of the request that the line is about; empty if it is about none."""
-        found = self.fields.get("id", "")
-        return found if isinstance(found, str) else ""
+        """The id of the request that the line is about, or an empty string if there is none."""
+        value = self.fields.get("id", "")
+        return value if isinstance(value, str) else ""
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Read log lines; whatever a collector put before the JSON of a line is left out.
+    """Parse log lines, ignoring any text that a log collector put before the JSON of a line.
 
-    Lines that are no log lines, as a traceback's, are passed over: they have no id.
+    Lines that are not in the log format, such as those of a traceback, are skipped: they have no
+    request id.
     """
     for text in texts:
         start = text.find("{")
@@ -49,7 +50,7 @@
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Read log files; raises OSError for one that cannot be read."""
+    """Return the lines of log files; raises OSError if a file cannot be read."""
     lines: list[LogLine] = []
     for path in paths:
         with path.open(encoding="utf-8", errors="replace") as file:
@@ -58,33 +59,34 @@
 
 
 def explain_request(request: str, lines: Iterable[LogLine]) -> list[str]:
-    """Give the story of a request in order of time; empty if no line is about it.
+    """Return the formatted timeline of a request; empty if no line is about it.
 
-    With its own lines come those that tell what the instances it met learned or lost meanwhile
-    and shortly before, since that decided where it went.
+    The timeline also holds lines about no request from the instances that handled this one, logged
+    during the request and shortly before it: they show what an instance had learned, for instance
+    about failures, when it chose a target.
     """
     all_lines = sorted(lines, key=lambda line: line.time)
-    own = [line for line in all_lines if line.request == request]
-    if not own:
+    request_lines = [line for line in all_lines if line.request == request]
+    if not request_lines:
         return []
-    met = {line.instance for line in own}
-    first, last = own[0].time - CONTEXT_SECONDS, own[-1].time
-    story = [
+    instances = {line.instance for line in request_lines}
+    start, end = request_lines[0].time - CONTEXT_S, request_lines[-1].time
+    timeline = [
         line
         for line in all_lines
         if line.request == request
-        or (not line.request and line.instance in met and first <= line.time <= last)
+        or (not line.request and line.instance in instances and start <= line.time <= end)
     ]
-    origin = own[0].time
-    return [_render(line, origin, line.request == request) for line in story]
+    origin = request_lines[0].time
+    return [_format_line(line, origin, line.request == request) for line in timeline]
 
 
-def _render(line: LogLine, origin: float, is_own: bool) -> str:
+def _format_line(line: LogLine, origin: float, is_about_request: bool) -> str:
     fields = [
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in FRAME and value is not None
+        if name not in PREFIX_FIELDS and value is not None
     ]
-    mark = "*" if is_own else " "
+    mark = "*" if is_about_request else " "
     offset = (line.time - origin) * 1000.0
     return f"{mark} {offset:+9.1f} ms  {line.instance:<20} {line.event:<18} {' '.join(fields)}"
--- a/rhubarbbend/cli/_main.py
+++ b/rhubarbbend/cli/_main.py
@@ -1,4 +1,4 @@
-"""Runs the command that the options name and turns every error into an exit status."""
+"""Runs the command given on the command line and maps errors to messages and exit statuses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 from thriftpy2.thrift import TException
 
 from rhubarbbend.cli._explain import explain_request, read_logs
-from rhubarbbend.cli._operate import ChangeUnsettled, apply, describe_error, move, show
+from rhubarbbend.cli._operate import (
+    ChangeOutcomeUnknown,
+    apply,
+    describe_error,
+    set_in_service,
+    show,
+)
 from rhubarbbend.cli._options import Options, parse_options
 from rhubarbbend.cli._status import ExitStatus
 from rhubarbbend.operators import SCHEMA
@@ -18,7 +24,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run one command."""
+    """Run the command that the arguments name and return its exit status."""
     options = parse_options(arguments)
     commands: dict[str, Callable[[Options], int]] = {
         "serve": _serve,
@@ -27,8 +33,8 @@
         "explain": _explain,
         "apply": apply,
         "show": show,
-        "zone": move,
-        "target": move,
+        "zone": set_in_service,
+        "target": set_in_service,
     }
     try:
         return commands[options.command](options)
@@ -40,15 +46,15 @@
         return ExitStatus.USAGE
     except SCHEMA.Conflict as conflict:
         print(
-            f"rhubarbbend: version {conflict.version} was taken by {conflict.author}; "
-            "look at the difference again",
+            f"rhubarbbend: version {conflict.version} was already written by {conflict.author}; "
+            "review the difference and try again",
             file=sys.stderr,
         )
         return ExitStatus.CONFLICT
-    except ChangeUnsettled as unsettled:
+    except ChangeOutcomeUnknown as unknown:
         print(
-            f"rhubarbbend: no word whether the change was accepted ({unsettled}); send it again "
-            f"with --change-id {unsettled.change_id}",
+            f"rhubarbbend: it is unknown whether the change was accepted ({unknown}); send it "
+            f"again with --change-id {unknown.change_id}",
             file=sys.stderr,
         )
         return ExitStatus.UNKNOWN
@@ -71,11 +77,11 @@
 
 
 def _explain(options: Options) -> int:
-    story = explain_request(options.request, read_logs(options.logs))
-    if not story:
+    timeline = explain_request(options.request, read_logs(options.logs))
+    if not timeline:
         print(f"rhubarbbend: no line about {options.request}", file=sys.stderr)
         return ExitStatus.FAILED
-    print("\n".join(story))
+    print("\n".join(timeline))
     return ExitStatus.DONE
 
 
@@ -85,6 +91,8 @@
     if report.difference is not None:
         print(f"{options.path}: the actions differ\n{report.difference}")
         return ExitStatus.FAILED
-    cut = "; the last line is cut and was left out" if report.cut else ""
-    print(f"{options.path}: {report.events} events, {report.actions} actions, all the same{cut}")
+    truncated = "; the last line is truncated and was left out" if report.truncated else ""
+    print(
+        f"{options.path}: {report.events} events, {report.actions} actions, all the same{truncated}"
+    )
     return ExitStatus.DONE
--- a/rhubarbbend/cli/_operate.py
+++ b/rhubarbbend/cli/_operate.py
@@ -1,4 +1,8 @@
-"""The operators' commands: apply, show, zone and target."""
+"""The operators' commands: apply, show, zone and target.
+
+Each command connects to the operator port of one instance. Changes are sent with a change id, so
+that one whose outcome is unknown can be retried without being applied twice.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +23,13 @@
 from rhubarbbend.operators import SCHEMA, OperatorClient, make_operator_key
 from rhubarbbend.settings import SecretSettings, parse_address, read_secret
 
-POLL_INTERVAL: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
+# Kind, name and encoded value of each item of a change; an empty value removes the item.
 Items = list[tuple[str, str, bytes]]
 
 
-class ChangeUnsettled(Exception):
-    """A change was sent and nobody said what became of it."""
+class ChangeOutcomeUnknown(Exception):
+    """A change was sent, but whether it was accepted is unknown."""
 
     def __init__(self, change_id: str, reason: str) -> None:
         super().__init__(reason)
@@ -37,13 +42,13 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """Give the reason that an error of the schema or of the connection carries."""
+    """Return the reason of an error raised by the operator schema or by the connection."""
     reason = getattr(error, "reason", None) or getattr(error, "problem", None)
     return str(reason or getattr(error, "message", None) or error)
 
 
 def apply(options: Options) -> int:
-    """Show what declarations change and send it."""
+    """Print what declaration files change and send the change, unless the operator declines it."""
     assert options.path is not None
     declared = read_declarations(options.path)
     with _connect(options) as client:
@@ -79,47 +84,49 @@
     try:
         accepted = client.apply_change(change_id, author, version, items)
     except SCHEMA.OutcomeUnknown as unknown:
-        raise ChangeUnsettled(change_id, "the platform's table gives no answer") from unknown
+        raise ChangeOutcomeUnknown(change_id, "the platform's table did not answer") from unknown
     except (TTransportException, OSError) as error:
-        # The instance may have sent the change to the table before the connection ended.
-        raise ChangeUnsettled(change_id, describe_error(error)) from error
+        # The instance may have written the change to the table before the connection was lost.
+        raise ChangeOutcomeUnknown(change_id, describe_error(error)) from error
     print(f"accepted as version {accepted} (change id {change_id})")
-    _report_force(client, accepted, options.wait)
+    _report_rollout(client, accepted, options.wait)
     return ExitStatus.DONE
 
 
-def _report_force(client: OperatorClient, version: int, wait: float) -> None:
-    """Say where the accepted change is in force, and plainly where it is not.
+def _report_rollout(client: OperatorClient, version: int, wait: float) -> None:
+    """Wait until the accepted change is in force at every instance, and print where it is not.
 
-    A zone that nothing reaches goes on with the version that it has; whoever took a zone out of
-    service has to know who may still send it work.
+    Instances in an unreachable zone keep using their current version. An operator who took a zone
+    out of service has to know which instances may still send requests to it.
     """
     if wait <= 0:
         return
     deadline = time.monotonic() + wait
     while True:
         try:
-            shown = [view for view in client.show("instances") if not view.leaving]
+            views = [view for view in client.show("instances") if not view.leaving]
         except (TException, OSError) as error:
-            print(f"where it is in force is not known: {describe_error(error)}", file=sys.stderr)
+            print(
+                f"cannot determine where it is in force: {describe_error(error)}", file=sys.stderr
+            )
             return
-        behind = [view for view in shown if view.config_version < version]
-        if not behind:
-            print(f"in force at all {len(shown)} instances")
+        outdated = [view for view in views if view.config_version < version]
+        if not outdated:
+            print(f"in force at all {len(views)} instances")
             return
         if time.monotonic() >= deadline:
             break
-        time.sleep(POLL_INTERVAL)
-    print(f"in force at {len(shown) - len(behind)} of {len(shown)} instances; NOT at:")
-    for view in behind:
-        said = f"at version {view.config_version}, heard {view.heard_age:.0f} s ago"
+        time.sleep(POLL_INTERVAL_S)
+    print(f"in force at {len(views) - len(outdated)} of {len(views)} instances; NOT at:")
+    for view in outdated:
+        state = f"at version {view.config_version}, heard {view.heard_age:.0f} s ago"
         if view.heard_age < 0:
-            said = "nothing heard of it"
-        print(f"  {view.id} in {view.zone}: {said}")
+            state = "nothing heard of it"
+        print(f"  {view.id} in {view.zone}: {state}")
 
 
-def move(options: Options) -> int:
-    """Take a zone or a target in or out of service."""
+def set_in_service(options: Options) -> int:
+    """Put a zone or target into service or take it out of service."""
     in_service = options.direction == "in"
     kind = options.command
     declared: Zone | TargetState = (
@@ -127,26 +134,27 @@
     )
     with _connect(options) as client:
         version = client.show("config").version
-        known = _list_known(client, kind)
-        if options.name not in known:
+        service_states = _list_service_states(client, kind)
+        if options.name not in service_states:
             print(f"rhubarbbend: no {kind} {options.name!r} is known", file=sys.stderr)
             return ExitStatus.FAILED
-        if known[options.name] == in_service:
-            print(f"{kind} {options.name} is {_name_state(in_service)} already")
+        if service_states[options.name] == in_service:
+            print(f"{kind} {options.name} is {_describe_service_state(in_service)} already")
             return ExitStatus.DONE
         item = (kind, options.name, msgspec.json.encode(declared))
         return _send_change(client, options, version, [item])
 
 
-def _name_state(in_service: bool) -> str:
+def _describe_service_state(in_service: bool) -> str:
     return "in service" if in_service else "out of service"
 
 
-def _list_known(client: OperatorClient, kind: str) -> dict[str, bool]:
-    """Map zones or targets to the operators' word on each alone.
+def _list_service_states(client: OperatorClient, kind: str) -> dict[str, bool]:
+    """Return whether each zone or target is itself declared in service, by name.
 
-    Whether a target gets work also depends on its zone. Taken for the target's own word, a zone
-    out of service would make `target out` do nothing, and the target would come back with it.
+    Whether a target gets requests also depends on its zone. If this returned that combined state,
+    `target out` would do nothing while the zone is out of service, and the target would get
+    requests again as soon as the zone is back.
     """
     if kind == "zone":
         return {view.name: view.in_service for view in client.show("zones")}
@@ -154,7 +162,7 @@
 
 
 def show(options: Options) -> int:
-    """Show what an instance knows."""
+    """Print the configuration, zones, targets or instances that an instance knows."""
     with _connect(options) as client:
         shown = client.show(options.what)
     rows = _list_rows(options.what, shown)
--- a/rhubarbbend/cli/_options.py
+++ b/rhubarbbend/cli/_options.py
@@ -1,4 +1,4 @@
-"""Parses the command line into one typed options object."""
+"""Defines the command line with argparse and parses it into one typed object."""
 
 from __future__ import annotations
 
@@ -13,38 +13,43 @@
 
 @attrs.define(slots=True)
 class Options:
-    """Every option of every command; those of other commands keep their defaults."""
+    """The options of all commands; those of commands that are not run keep their defaults.
 
-    # The command to run.
+    The field names are the destinations that the parser derives from the option names.
+    """
+
+    # Name of the command to run.
     command: str = ""
-    # Settings file of an instance (serve, check-settings).
+    # Path of an instance's settings file (serve, check-settings).
     settings: Path | None = None
-    # Operator address of an instance, host:port (apply, show, zone, target).
+    # Address of an instance's operator port as host:port (apply, show, zone, target).
     instance: str = ""
-    # File that holds the operators' secret, or the fleet's where operators have none of their own.
+    # Path of a file that holds the operators' secret, or the fleet's secret if the fleet has no
+    # separate one for operators.
     secret_file: str = ""
-    # Environment variable that holds it instead.
+    # Name of an environment variable that holds that secret instead.
     secret_env: str = ""
-    # A declaration file, or a folder of them (apply); a trace (replay).
+    # Path of a declaration file or a folder of them (apply), or of a trace (replay).
     path: Path | None = None
-    # Send the change without asking (apply).
+    # Send the change without asking for confirmation (apply).
     yes: bool = False
-    # Who makes the change, as others are told who lose a race (apply, zone, target).
+    # Author of the change, shown to operators whose conflicting change is rejected (apply, zone,
+    # target).
     author: str = ""
-    # Id of the change set; given again it answers with the version already accepted.
+    # Id of the change. Sending an accepted id again returns the version it was accepted as.
     change_id: str = ""
-    # Seconds to wait until an accepted change is in force everywhere; 0 does not look.
+    # Seconds to wait until an accepted change is in force at every instance; 0 does not wait.
     wait: float = 5.0
-    # What to show: config, zones, targets or instances.
+    # What to show: config, zones, targets or instances (show).
     what: str = ""
-    # Print JSON in place of a table (show).
+    # Print JSON instead of a table (show).
     json: bool = False
-    # Id of a request, and the logs to look through (explain).
+    # Id of a request, and paths of the logs to search for it (explain).
     request: str = ""
     logs: list[Path] = attrs.Factory(list)
-    # "in" or "out" (zone, target).
+    # "in" to put into service, "out" to take out of service (zone, target).
     direction: str = ""
-    # Name of the zone or target.
+    # Name of the zone or target (zone, target).
     name: str = ""
 
 
@@ -57,18 +62,18 @@
 
 def _add_change_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--author", default="", help="who makes the change (default: $USER)")
-    parser.add_argument("--change-id", default="", help="id of the change set, to send it again")
+    parser.add_argument("--change-id", default="", help="id of the change, to retry it")
     parser.add_argument(
         "--wait",
         type=float,
         default=5.0,
         metavar="SECONDS",
-        help="how long to watch until it is in force everywhere (default: 5; 0: not at all)",
+        help="how long to wait until it is in force at every instance (default: 5; 0: do not wait)",
     )
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Make the parser of the whole command line."""
+    """Return the parser of the whole command line."""
     parser = argparse.ArgumentParser(
         prog="rhubarbbend", description="A router fleet for returning chats."
     )
@@ -78,19 +83,26 @@
     serve = commands.add_parser("serve", help="run one instance of the fleet")
     serve.add_argument("--settings", type=Path, required=True, help="settings file (TOML)")
 
-    check = commands.add_parser("check-settings", help="check a settings file, print every error")
+    check = commands.add_parser(
+        "check-settings", help="check a settings file and print every error"
+    )
     check.add_argument("settings", type=Path)
 
-    replay = commands.add_parser("replay", help="replay a recorded trace, compare the actions")
-    replay.add_argument("path", type=Path, metavar="FILE", help="file of the [record] settings")
+    replay = commands.add_parser("replay", help="replay a recorded trace and compare the actions")
+    replay.add_argument(
+        "path",
+        type=Path,
+        metavar="FILE",
+        help="trace file, recorded as set in [record] of the settings",
+    )
 
-    explain = commands.add_parser("explain", help="tell what became of a request, from logs")
+    explain = commands.add_parser("explain", help="show what happened to a request, from logs")
     explain.add_argument("request", metavar="ID", help="the request's id")
     explain.add_argument("logs", type=Path, nargs="+", metavar="LOG", help="logs of instances")
 
-    apply = commands.add_parser("apply", help="show what declarations change, and send it")
+    apply = commands.add_parser("apply", help="show what declarations change and send the change")
     apply.add_argument("path", type=Path, help="declaration file, or folder of *.toml")
-    apply.add_argument("--yes", action="store_true", help="send without asking")
+    apply.add_argument("--yes", action="store_true", help="send without asking for confirmation")
     _add_operator_options(apply)
     _add_change_options(apply)
 
@@ -109,7 +121,7 @@
 
 
 def parse_options(arguments: Sequence[str]) -> Options:
-    """Parse arguments; prints usage and exits with status 2 if they are wrong."""
+    """Parse the arguments; prints usage and exits with status 2 if they are invalid."""
     options = Options()
     make_parser().parse_args(arguments, namespace=options)
     return options
--- a/rhubarbbend/cli/_status.py
+++ b/rhubarbbend/cli/_status.py
@@ -1,4 +1,4 @@
-"""The exit statuses of every command."""
+"""The exit statuses of the program."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """Exit statuses of every command."""
+    """An exit status; every command uses the same ones."""
 
     DONE = 0
-    FAILED = 1  # The fleet refused, or could not be reached; a replay differs.
-    USAGE = 2  # Options, settings or declarations are wrong.
-    CONFLICT = 3  # Another operator's change came first.
-    UNKNOWN = 4  # No word whether the change was accepted: send the same change id again.
-    DECLINED = 5  # The difference was shown and not sent.
+    FAILED = 1  # The fleet refused or was unreachable, a replay differs, or no log line matches.
+    USAGE = 2  # Options, settings, declarations or a trace are invalid.
+    CONFLICT = 3  # Another operator's change was accepted first.
+    UNKNOWN = 4  # Whether the change was accepted is unknown: retry with the same change id.
+    DECLINED = 5  # The differences were shown, but the operator did not confirm them.
--- a/rhubarbbend/trace/__init__.py
+++ b/rhubarbbend/trace/__init__.py
@@ -1,4 +1,8 @@
-"""Record and replay: the events of an instance in a file, fed to a fresh core again."""
+"""Record and replay of an instance's events, to reproduce its decisions in another process.
+
+A recorder writes every event that the core handles to a trace file. A replay feeds these events to
+a new core and compares the resulting actions with the recorded ones.
+"""
 
 from rhubarbbend.trace._format import TraceInvalid
 from rhubarbbend.trace._recorder import Recorder
--- a/rhubarbbend/trace/_format.py
+++ b/rhubarbbend/trace/_format.py
@@ -1,7 +1,8 @@
-"""The trace file: JSON lines, the first of which holds what constructs the core.
+"""The format of trace files: a header line with the core's arguments, then one line per event.
 
-Every later line is one event with its time, the number of actions it gave and their digest. The
-types of the events are collected from the core, so that a new event or message needs nothing here.
+All lines are JSON. Each event line holds an event, its time, and the number and digest of the
+actions that the core returned. The event and message types are collected from the core's base
+classes, so a new event or message type needs no change here.
 """
 
 from __future__ import annotations
@@ -18,17 +19,18 @@
 
 FORMAT: Final = "rhubarbbend-trace"
 FORMAT_VERSION: Final = 1
-# Replaces the fleet's secret, which no trace may hold.
+# Signs the tickets and reserved keys of a trace instead of the fleet's secret, which must not be
+# recorded.
 TRACE_SECRET: Final = b"the public secret of every trace"
 DIGEST_BYTES: Final = 8
 
 
 class TraceInvalid(Exception):
-    """A file that is no trace, or one that this program cannot read."""
+    """A file is not a trace, or is a trace that this version of the program cannot replay."""
 
 
 class Header(msgspec.Struct, forbid_unknown_fields=True):
-    """The first line: everything that the core is constructed from, but for the secret."""
+    """The first line: all arguments with which the core is constructed, except the secret."""
 
     format: str
     version: int
@@ -39,7 +41,10 @@
 
 
 class Line(msgspec.Struct, forbid_unknown_fields=True):
-    """One event. `actions` is empty and `raised` names the exception if the core failed."""
+    """One event, handled `at` a time in seconds, with the `count` and digest of its `actions`.
+
+    If the core raised an exception, `actions` is empty and `raised` is the exception's class name.
+    """
 
     at: float
     event: msgspec.Raw
@@ -49,29 +54,31 @@
 
 
 class RecordedPeerSaid(msgspec.Struct, tag="PeerSaid", forbid_unknown_fields=True):
-    """The recorded form of `PeerSaid`, whose message is one of the tagged message types."""
+    """The recorded form of `PeerSaid`; `message` is decoded later, by the tag of its type."""
 
     sender: str
     message: Any
 
 
-def _list_kinds(base: type[msgspec.Struct]) -> list[type[msgspec.Struct]]:
-    """List the types derived from a base, also by way of another."""
+def _list_subclasses(base: type[msgspec.Struct]) -> list[type[msgspec.Struct]]:
+    """Return all direct and indirect subclasses of a class, sorted by name."""
     found = set(base.__subclasses__())
-    for kind in list(found):
-        found.update(_list_kinds(kind))
-    return sorted(found, key=lambda kind: kind.__name__)
+    for subclass in list(found):
+        found.update(_list_subclasses(subclass))
+    return sorted(found, key=lambda subclass: subclass.__name__)
 
 
-def _unite(kinds: list[type[msgspec.Struct]]) -> Any:
-    """Give the union of types that are only known at run time."""
-    return functools.reduce(operator.or_, kinds)
+def _make_union(types: list[type[msgspec.Struct]]) -> Any:
+    """Return the union of types that are only known at run time."""
+    return functools.reduce(operator.or_, types)
 
 
 def _make_decoders() -> tuple[msgspec.json.Decoder[Any], Any]:
-    kinds = [kind for kind in _list_kinds(events.Event) if kind is not events.PeerSaid]
-    said = [kind for kind in _list_kinds(messages.Message) if kind.__struct_config__.tag]
-    return msgspec.json.Decoder(_unite([*kinds, RecordedPeerSaid])), _unite(said)
+    event_types = [t for t in _list_subclasses(events.Event) if t is not events.PeerSaid]
+    message_types = [t for t in _list_subclasses(messages.Message) if t.__struct_config__.tag]
+    return msgspec.json.Decoder(_make_union([*event_types, RecordedPeerSaid])), _make_union(
+        message_types
+    )
 
 
 _EVENT_DECODER, _MESSAGE_TYPE = _make_decoders()
@@ -80,18 +87,18 @@
 
 
 def encode_header(program: str, identity: Identity, options: CoreOptions, seed: int) -> bytes:
-    """Encode the first line; the secret is left out."""
-    public = msgspec.structs.replace(identity, secret=b"")
-    header = Header(FORMAT, FORMAT_VERSION, program, public, attrs.asdict(options), seed)
+    """Return the header line, without the fleet's secret."""
+    public_identity = msgspec.structs.replace(identity, secret=b"")
+    header = Header(FORMAT, FORMAT_VERSION, program, public_identity, attrs.asdict(options), seed)
     return msgspec.json.encode(header) + b"\n"
 
 
 def decode_header(data: bytes) -> Header:
-    """Decode the first line; raises `TraceInvalid` if it is not one that can be replayed."""
+    """Decode the header line; raises `TraceInvalid` if it has another format or version."""
     try:
         header = _HEADER_DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise TraceInvalid(f"line 1: no trace header: {error}") from error
+        raise TraceInvalid(f"line 1: invalid trace header: {error}") from error
     if header.format != FORMAT or header.version != FORMAT_VERSION:
         raise TraceInvalid(
             f"line 1: expected {FORMAT} version {FORMAT_VERSION}, "
@@ -101,19 +108,22 @@
 
 
 def decode_options(header: Header) -> CoreOptions:
-    """Give the core's options; raises `TraceInvalid` for options of another program version."""
-    known = {field.name for field in attrs.fields(CoreOptions)}
-    unknown = sorted(header.options.keys() - known)
-    if unknown:
+    """Return the core's options; raises `TraceInvalid` if this version lacks one of them."""
+    known_options = {field.name for field in attrs.fields(CoreOptions)}
+    unknown_options = sorted(header.options.keys() - known_options)
+    if unknown_options:
         raise TraceInvalid(
-            f"line 1: options unknown to this version: {', '.join(unknown)}; "
-            f"the trace was made by {header.program}"
+            f"line 1: options unknown to this version: {', '.join(unknown_options)}; "
+            f"the trace was recorded by version {header.program}"
         )
     return CoreOptions(**header.options)  # type: ignore[arg-type]
 
 
-def decode_line(data: bytes, number: int) -> tuple[Line, events.Event]:
-    """Decode a line after the first; raises `TraceInvalid`."""
+def decode_line(data: bytes, line_number: int) -> tuple[Line, events.Event]:
+    """Decode an event line into the line and its event; raises `TraceInvalid` if it is invalid.
+
+    `line_number` counts from 1 and is used in the error message only.
+    """
     try:
         line = _LINE_DECODER.decode(data)
         event = _EVENT_DECODER.decode(line.event)
@@ -121,11 +131,13 @@
             message = msgspec.convert(event.message, _MESSAGE_TYPE)
             event = events.PeerSaid(event.sender, message)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise TraceInvalid(f"line {number}: {error}") from error
+        raise TraceInvalid(f"line {line_number}: {error}") from error
     assert isinstance(event, events.Event)
     return line, event
 
 
-def digest_actions(redacted: list[Any]) -> str:
-    """Digest the actions of one event, which have been redacted."""
-    return hashlib.blake2b(msgspec.json.encode(redacted), digest_size=DIGEST_BYTES).hexdigest()
+def digest_actions(redacted_actions: list[Any]) -> str:
+    """Return a hexadecimal digest of the redacted actions of one event."""
+    return hashlib.blake2b(
+        msgspec.json.encode(redacted_actions), digest_size=DIGEST_BYTES
+    ).hexdigest()
--- a/rhubarbbend/trace/_recorder.py
+++ b/rhubarbbend/trace/_recorder.py
@@ -1,4 +1,4 @@
-"""Writes every event that a core handles to a file, bounded in size."""
+"""Records every event that a core handles, and a digest of its actions, in a trace file."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class Recorder:
-    """Stands between the shell and the core. Invariant: the file never exceeds `max_bytes`.
+    """Wraps a core and records what it handles. Invariant: the file never exceeds `max_bytes`.
 
-    A file that is full, or cannot be written, ends the recording and nothing else: an instance
-    serves on. What is in the file by then replays, since a trace is replayed from its start.
+    If the file is full or cannot be written, only the recording ends; the instance continues to
+    serve requests. The events recorded so far can still be replayed, because a replay starts at the
+    beginning of the trace.
     """
 
     def __init__(
@@ -34,37 +35,40 @@
     ) -> None:
         self._core = core
         self._redactor = EventRedactor(identity.secret, self._find_account)
-        self._left = max_bytes
+        self._remaining_bytes = max_bytes
         self._file: BinaryIO | None = open(path, "wb", BUFFER_BYTES)  # noqa: SIM115  (kept open)
         self._write(encode_header(VERSION, identity, options, seed))
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
-        """Let the core handle an event and record both."""
+        """Pass an event to the core, record it with the resulting actions, and return the actions.
+
+        An exception of the core is recorded by its class name and raised again.
+        """
         if self._file is None:
             return self._core.handle(event, now)
-        # The core may keep and change what it is given, so the event is encoded before.
+        # The core may keep and modify the event, so it is encoded before the core handles it.
         recorded = msgspec.Raw(msgspec.json.encode(self._redactor.redact(event)))
         try:
-            given = self._core.handle(event, now)
+            returned_actions = self._core.handle(event, now)
         except Exception as error:
             self._write_line(Line(now, recorded, 0, "", type(error).__name__))
             self.flush()
             raise
-        # The shell adds bodies to some actions, so they are digested before it has them.
-        digest = digest_actions([redact_action(action) for action in given])
-        self._write_line(Line(now, recorded, len(given), digest))
-        return given
+        # The shell adds bodies to some actions after this returns, so the digest is taken now.
+        digest = digest_actions([redact_action(action) for action in returned_actions])
+        self._write_line(Line(now, recorded, len(returned_actions), digest))
+        return returned_actions
 
     def flush(self) -> None:
-        """Write out what is buffered."""
+        """Write buffered lines to the file."""
         if self._file is not None:
             try:
                 self._file.flush()
             except OSError as error:
-                self._give_up(str(error))
+                self._end_recording(str(error))
 
     def close(self) -> None:
-        """End the recording."""
+        """Flush and close the file; later events are handled without being recorded."""
         self.flush()
         if self._file is not None:
             self._file.close()
@@ -80,21 +84,23 @@
     def _write(self, data: bytes) -> None:
         if self._file is None:
             return
-        if len(data) > self._left:
-            self._give_up("the file has reached record.max_bytes")
+        if len(data) > self._remaining_bytes:
+            self._end_recording(
+                "the next line would make the trace file larger than record.max_bytes"
+            )
             return
-        self._left -= len(data)
+        self._remaining_bytes -= len(data)
         try:
             self._file.write(data)
         except OSError as error:
-            self._give_up(str(error))
+            self._end_recording(str(error))
 
-    def _give_up(self, reason: str) -> None:
+    def _end_recording(self, reason: str) -> None:
         file, self._file = self._file, None
         eliot.log_message("recording_ended", reason=reason)
         if file is not None:
             try:
                 file.close()
             except OSError:
-                # Its buffer could not be written either; the instance serves on without.
+                # Closing flushes the buffer, which may fail too. The recording has ended anyway.
                 pass
--- a/rhubarbbend/trace/_redaction.py
+++ b/rhubarbbend/trace/_redaction.py
@@ -1,10 +1,12 @@
-"""Replaces contents in events and actions by digests, the same way at recording and at replay.
+"""Replaces private contents of events and actions by digests, alike when recording and replaying.
 
-A trace must hold no caller's words, no idempotency key and nothing that was signed with the
-fleet's secret. The core decides by those, though: it compares keys, reads tickets and checks
-signatures. So equal contents become equal digests, and what the fleet has signed is signed anew
-with a public secret, with which the replayed core checks it. Every replacement maps its own
-results to themselves, so actions of the recorded and of the replayed core meet in one form.
+A trace must not contain callers' request or response bodies, idempotency keys, or anything signed
+with the fleet's secret. The core's decisions depend on them, though: it compares keys, decodes
+tickets and verifies signatures. Therefore equal contents are replaced by equal digests, and tickets
+and reserved keys are signed again with a public secret, with which the replayed core verifies them.
+
+All replacements are idempotent, so the redacted actions of the recorded core equal those of the
+replayed core, which handles contents that are redacted already.
 """
 
 from __future__ import annotations
@@ -36,15 +38,17 @@
 
 _DIGEST_CHARS: Final = 24
 _KEY_DIGEST: Final = re.compile(r"key-digest\.[0-9a-f]{24}")
-_BAD_KEY_DIGEST: Final = re.compile(r"no valid key [0-9a-f]{24}")
+_INVALID_KEY_DIGEST: Final = re.compile(r"no valid key [0-9a-f]{24}")
 _BODY_DIGEST: Final = re.compile(rb"body-digest\.[0-9a-f]{24}")
 _FORGED: Final = "forged"
-# Fields of messages, events and actions that are replaced wherever they occur.
+# Names of fields whose value is replaced in every message, event and action.
 _BODY_FIELDS: Final = frozenset({"body"})
 _KEY_FIELDS: Final = frozenset({"key"})
 
+# Returns the client account of an API key's digest, or "" if there is none.
 FindAccount = Callable[[str], str]
-MapKey = Callable[[str, str], str]
+# Returns the replacement of an account's idempotency key.
+RedactKey = Callable[[str, str], str]
 
 
 def _digest(data: bytes) -> str:
@@ -52,29 +56,30 @@
 
 
 def redact_body(body: bytes) -> bytes:
-    """Replace a body by its digest; an empty one stays empty."""
+    """Return the replacement of a body: its digest, or an empty body for an empty one."""
     if not body or _BODY_DIGEST.fullmatch(body):
         return body
     return b"body-digest." + _digest(body).encode()
 
 
-def _redact_plain_key(key: str) -> str:
-    if not key or _KEY_DIGEST.fullmatch(key) or _BAD_KEY_DIGEST.fullmatch(key):
+def _redact_unreserved_key(key: str) -> str:
+    if not key or _KEY_DIGEST.fullmatch(key) or _INVALID_KEY_DIGEST.fullmatch(key):
         return key
-    # A key that the core refuses has to become one that it refuses.
+    # A key that the core rejects as invalid must be replaced by one that it rejects too: the
+    # spaces of this prefix make it invalid.
     prefix = "key-digest." if is_valid_key(key) else "no valid key "
     return prefix + _digest(key.encode())
 
 
-def _strip_key(account: str, key: str) -> str:
-    """Redact a key in an action: a reserved one loses its signature."""
+def _redact_action_key(account: str, key: str) -> str:
+    """Redact a key in an action; a reserved key only loses its signature."""
     if not is_reserved(key):
-        return _redact_plain_key(key)
+        return _redact_unreserved_key(key)
     return key.rpartition(".")[0]
 
 
 def _redact_claim_row(value: bytes) -> bytes:
-    """Redact the outcome in a stored claim; what is no claim becomes its digest."""
+    """Redact the body in a stored claim; a value that is not a claim is replaced by its digest."""
     try:
         row = msgspec.json.decode(value)
         body = base64.b64decode(row["body"], validate=True)
@@ -84,21 +89,21 @@
     return msgspec.json.encode(row)
 
 
-def _map_table_key(table_key: str, map_key: MapKey) -> str:
+def _redact_table_key(table_key: str, redact_key: RedactKey) -> str:
     account, key = split_key(table_key)
-    return make_key(account, map_key(account, key)) if account else map_key("", table_key)
+    return make_key(account, redact_key(account, key)) if account else redact_key("", table_key)
 
 
-def _redact_row(row: dict[str, Any], map_key: MapKey) -> None:
-    row["key"] = _map_table_key(row["key"], map_key)
+def _redact_row(row: dict[str, Any], redact_key: RedactKey) -> None:
+    row["key"] = _redact_table_key(row["key"], redact_key)
     row["value"] = _redact_claim_row(row["value"])
 
 
-def _walk(node: Any, map_key: MapKey) -> None:
-    """Redact a tree of a struct's fields in place."""
+def _redact_tree(node: Any, redact_key: RedactKey) -> None:
+    """Redact the fields of a struct in place, given as nested dicts and lists."""
     if isinstance(node, list | tuple):
         for entry in node:
-            _walk(entry, map_key)
+            _redact_tree(entry, redact_key)
         return
     if not isinstance(node, dict):
         return
@@ -106,15 +111,15 @@
         if name in _BODY_FIELDS and isinstance(value, bytes):
             node[name] = redact_body(value)
         elif name in _KEY_FIELDS and isinstance(value, str):
-            node[name] = _redact_key_field(node, value, map_key)
+            node[name] = _redact_key_field(node, value, redact_key)
         else:
-            _walk(value, map_key)
+            _redact_tree(value, redact_key)
 
 
-def _redact_key_field(node: dict[str, Any], key: str, map_key: MapKey) -> str:
+def _redact_key_field(node: dict[str, Any], key: str, redact_key: RedactKey) -> str:
     if "account" in node:
-        return map_key(node["account"], key)
-    return _map_table_key(key, map_key)
+        return redact_key(node["account"], key)
+    return _redact_table_key(key, redact_key)
 
 
 def _to_tree(struct: msgspec.Struct) -> dict[str, Any]:
@@ -123,67 +128,78 @@
     return tree
 
 
-def _strip_ticket(ticket: str) -> str:
-    """Leave out a ticket's signature, which differs with the secret."""
+def _strip_ticket_signature(ticket: str) -> str:
+    """Return a ticket's payload in hexadecimal.
+
+    The signature is left out because it depends on the secret.
+    """
     raw = base64.urlsafe_b64decode(ticket + "=" * (-len(ticket) % 4))
     return raw[SIGNATURE_BYTES:].hex()
 
 
 def redact_action(action: actions.Action) -> dict[str, Any]:
-    """Give an action as a tree without contents and signatures."""
+    """Return an action as nested dicts and lists, without private contents and signatures."""
     tree = _to_tree(action)
     if isinstance(action, actions.WriteRows):
         for write in tree["writes"]:
             if write["table"] == CLAIM_TABLE:
-                _redact_row(write, _strip_key)
+                _redact_row(write, _redact_action_key)
     elif isinstance(action, actions.ReadRow | actions.ScanRows):
         if action.table == CLAIM_TABLE:
-            _walk(tree, _strip_key)
+            _redact_tree(tree, _redact_action_key)
     elif isinstance(action, actions.GiveKeys):
-        tree["keys"] = [_strip_key("", key) for key in action.keys]
+        tree["keys"] = [_redact_action_key("", key) for key in action.keys]
     else:
         if tree.get("ticket"):
-            tree["ticket"] = _strip_ticket(tree["ticket"])
-        _walk(tree, _strip_key)
+            tree["ticket"] = _strip_ticket_signature(tree["ticket"])
+        _redact_tree(tree, _redact_action_key)
     return tree
 
 
 class EventRedactor:
-    """Redacts events; knows the fleet's secret, to sign anew what was signed with it."""
+    """Redacts events.
+
+    It holds the fleet's secret, to verify tickets and reserved keys before it signs them again with
+    the trace's public secret.
+    """
 
     def __init__(self, secret: bytes, find_account: FindAccount) -> None:
         self._secret = secret
         self._find_account = find_account
 
     def redact(self, event: events.Event) -> dict[str, Any]:
-        """Give an event as a tree that a core with the trace's secret decides alike on."""
+        """Return an event as nested dicts and lists, without private contents.
+
+        A core with the trace's public secret makes the same decisions on the result as the recorded
+        core does on the event.
+        """
         tree = _to_tree(event)
         if isinstance(event, events.RequestArrived):
             account = self._find_account(event.key_digest)
-            tree["key"] = self._map_key(account, event.key)
-            tree["ticket"] = self._sign_ticket(account, event.chat, event.ticket)
+            tree["key"] = self._redact_event_key(account, event.key)
+            tree["ticket"] = self._sign_ticket_again(account, event.chat, event.ticket)
         elif isinstance(event, events.WriteDone | events.RowsRead):
             if event.op.startswith(CLAIM_OP_PREFIX):
                 for row in tree["rows"]:
                     if row is not None:
-                        _redact_row(row, self._map_key)
+                        _redact_row(row, self._redact_event_key)
         elif isinstance(event, events.PeerSaid) and isinstance(event.message, ReservedRun):
             message = tree["message"]
-            message["key"] = self._map_key(event.message.account, event.message.key)
+            message["key"] = self._redact_event_key(event.message.account, event.message.key)
             message["body"] = redact_body(message["body"])
         else:
-            _walk(tree, self._map_key)
+            _redact_tree(tree, self._redact_event_key)
         return tree
 
-    def _map_key(self, account: str, key: str) -> str:
+    def _redact_event_key(self, account: str, key: str) -> str:
         if not is_reserved(key):
-            return _redact_plain_key(key)
+            return _redact_unreserved_key(key)
         found = decode_reserved(self._secret, account, key)
         if isinstance(found, Success):
             return encode_reserved(TRACE_SECRET, account, found.unwrap())
         return f"{RESERVED_PREFIX}{_digest(key.encode())}.{_FORGED}"
 
-    def _sign_ticket(self, account: str, chat: str, text: str) -> str:
+    def _sign_ticket_again(self, account: str, chat: str, text: str) -> str:
         if not text:
             return text
         found = decode_ticket(self._secret, account, chat, text)
--- a/tests/cli/test_declarations.py
+++ b/tests/cli/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declaration files: what they change, and what is wrong with them."""
+"""Tests of declaration files: which changes they result in and which errors are reported."""
 
 from __future__ import annotations
 
@@ -16,30 +16,33 @@
 from rhubarbbend.settings import SettingsInvalid
 from tests.fleet.harness import TENGRI
 
-DIGEST = "a" * 64
+KEY_DIGEST = "a" * 64
 
 
-def write(folder: Path, text: str) -> Path:
+def write_file(folder: Path, text: str) -> Path:
     path = folder / "fleet.toml"
     path.write_text(text, "utf-8")
     return path
 
 
 def test_applying_twice_changes_nothing_although_defaults_are_omitted() -> None:
-    """What is in force was written by a program that did not know of a field added since."""
+    """An older version of the program wrote the configuration, without a field added since.
+
+    The absent field has its default value, so it must not show up as a difference.
+    """
     declared = read_declarations(TENGRI)
-    first = find_differences({}, declared)
-    current = {(d.kind, d.name): d.value for d in first}
-    assert len(first) == len(declared) and not check_differences({}, first)
+    differences = find_differences({}, declared)
+    current = {(d.kind, d.name): d.value for d in differences}
+    assert len(differences) == len(declared) and not check_differences({}, differences)
     assert find_differences(current, declared) == []
-    older = dict(current)
+    without_defaults = dict(current)
     for key, value in current.items():
         fields = msgspec.json.decode(value)
         fields.pop("max_queue", None)
         fields.pop("weight", None) if fields.get("weight") == 1 else None
-        older[key] = msgspec.json.encode(fields)
-    assert [d.name for d in find_differences(older, declared) if d.kind == "zone"] == []
-    assert find_differences(older, declared) == []
+        without_defaults[key] = msgspec.json.encode(fields)
+    assert [d.name for d in find_differences(without_defaults, declared) if d.kind == "zone"] == []
+    assert find_differences(without_defaults, declared) == []
 
 
 @pytest.mark.parametrize(
@@ -52,41 +55,42 @@
         ('[[target]]\nname = "t"\n', []),
     ],
 )
-def test_a_zone_taken_out_by_command_stays_out(
+def test_applying_files_does_not_undo_a_command_that_took_a_zone_out_of_service(
     tmp_path: Path, text: str, expected: list[str]
 ) -> None:
-    """Operators took zone a out in the night; in the morning somebody applies the usual files.
+    """An operator took zone a out of service by command; later the usual files are applied.
 
-    The zone must not get work again in passing. Only a file that says `in_service` itself moves it.
+    The zone must not be put back into service as a side effect. Only a file that sets `in_service`
+    itself may change it.
     """
     current = {
         ("zone", "a"): b'{"name": "a", "in_service": false}',
         ("target", "t"): b'{"name": "t", "in_service": false}',
     }
-    found = find_differences(current, read_declarations(write(tmp_path, text)))
-    assert [f"{d.sign} {d.kind} {d.name} {d.detail}" for d in found] == expected
+    differences = find_differences(current, read_declarations(write_file(tmp_path, text)))
+    assert [f"{d.sign} {d.kind} {d.name} {d.detail}" for d in differences] == expected
 
 
 @pytest.mark.parametrize("folder", sorted(TENGRI.parent.iterdir()), ids=lambda p: p.name)
-def test_the_examples_are_valid(folder: Path) -> None:
+def test_the_example_declarations_are_valid(folder: Path) -> None:
     differences = find_differences({}, read_declarations(folder))
     assert differences and check_differences({}, differences) == []
 
 
-def test_what_is_no_longer_declared_is_removed(tmp_path: Path) -> None:
+def test_a_model_that_is_no_longer_declared_is_removed_but_a_zone_is_not(tmp_path: Path) -> None:
     current = {("model", "m"): b'{"name": "m", "service": "s"}', ("zone", "a"): b'{"name": "a"}'}
-    found = find_differences(current, read_declarations(write(tmp_path, "")))
-    assert [(d.sign, d.kind, d.name, d.value) for d in found] == [("-", "model", "m", b"")]
+    differences = find_differences(current, read_declarations(write_file(tmp_path, "")))
+    assert [(d.sign, d.kind, d.name, d.value) for d in differences] == [("-", "model", "m", b"")]
 
 
-def test_every_error_of_a_file_is_told_at_once(tmp_path: Path) -> None:
+def test_every_error_of_a_file_is_reported(tmp_path: Path) -> None:
     text = f"""
 [[account]]
 name = "x"
 key_digest = "short"
 [[account]]
 name = "bad name/with | signs"
-key_digest = "{DIGEST}"
+key_digest = "{KEY_DIGEST}"
 wieght = 3
 [[service]]
 name = "s"
@@ -103,9 +107,9 @@
 [[wrong]]
 """
     with pytest.raises(SettingsInvalid) as invalid:
-        read_declarations(write(tmp_path, text))
-    told = str(invalid.value)
-    for words in (
+        read_declarations(write_file(tmp_path, text))
+    message = str(invalid.value)
+    for expected_text in (
         "account[0]: key_digest: expected 64",
         "account[1]: unknown field 'wieght'",
         "account[1]: name: expected letters",
@@ -117,7 +121,7 @@
         "zone[1]: zone 'a' is declared twice",
         "wrong: expected one of [[account]]",
     ):
-        assert words in told, words
+        assert expected_text in message, expected_text
 
 
 @pytest.mark.parametrize(
@@ -130,38 +134,38 @@
         ),
         ('[[service]]\nname = "s"\nkind = "gpu"\n', "kind: expected one of engine, plain"),
         (
-            f'[[account]]\nname = "x"\nkey_digest = "{DIGEST}"\n'
-            f'[[account]]\nname = "y"\nkey_digest = "{DIGEST}"\n',
+            f'[[account]]\nname = "x"\nkey_digest = "{KEY_DIGEST}"\n'
+            f'[[account]]\nname = "y"\nkey_digest = "{KEY_DIGEST}"\n',
             "its key_digest is that of account 'x'",
         ),
     ],
 )
-def test_references_and_shared_keys_are_checked_before_sending(
+def test_references_and_duplicate_keys_are_checked_before_sending(
     tmp_path: Path, text: str, problem: str
 ) -> None:
-    differences = find_differences({}, read_declarations(write(tmp_path, text)))
-    assert any(problem in found for found in check_differences({}, differences))
+    differences = find_differences({}, read_declarations(write_file(tmp_path, text)))
+    assert any(problem in reported for reported in check_differences({}, differences))
 
 
-def test_removing_a_service_that_a_model_needs_is_refused(tmp_path: Path) -> None:
-    """The service goes and a model still names it: its callers would get unknown_service."""
+def test_removing_a_service_that_a_model_names_is_rejected(tmp_path: Path) -> None:
+    """Requests for a model whose service was removed would fail with unknown_service."""
     current = {("service", "s"): b'{"name": "s"}'}
     text = '[[model]]\nname = "m"\nservice = "s"\n'
-    found = find_differences(current, read_declarations(write(tmp_path, text)))
-    assert check_differences(current, found) == ["model 'm': no service 's' is declared"]
+    differences = find_differences(current, read_declarations(write_file(tmp_path, text)))
+    assert check_differences(current, differences) == ["model 'm': no service 's' is declared"]
 
 
-def test_a_wrong_file_is_a_usage_error_and_sends_nothing(
+def test_an_invalid_file_is_a_usage_error_and_sends_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("KEY", "0123456789abcdef")
-    path = write(tmp_path, "[[account]]\nname = 3\n")
+    path = write_file(tmp_path, "[[account]]\nname = 3\n")
     command = ["apply", str(path), "--instance", "127.0.0.1:1", "--secret-env", "KEY", "--yes"]
     assert main(command) == ExitStatus.USAGE
     assert "account[0]" in capsys.readouterr().err
 
 
-def test_an_instance_that_cannot_be_reached_is_a_failure(
+def test_an_unreachable_instance_is_reported_as_a_failure(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("KEY", "0123456789abcdef")
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request: its own lines and what its instances learned around it, in order."""
+"""Tests of `explain`: a request's timeline holds its lines and related ones, ordered by time."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 ]
 
 
-def test_a_story_holds_the_request_s_lines_and_what_its_instances_learned() -> None:
-    story = explain_request("r-1", read_lines(LINES))
-    assert [line.split()[:5] for line in story] == [
+def test_timeline_holds_lines_of_the_request_and_earlier_ones_of_its_instances() -> None:
+    timeline = explain_request("r-1", read_lines(LINES))
+    assert [line.split()[:5] for line in timeline] == [
         ["-500.0", "ms", "front-1", "store_lost", "reason=status"],
         ["*", "+0.0", "ms", "front-1", "sent"],
         ["*", "+2000.0", "ms", "front-2", "ended"],
     ]
-    assert "target=t-1" in story[1] and "source" not in story[1]
+    assert "target=t-1" in timeline[1] and "source" not in timeline[1]
 
 
-def test_the_command_reads_several_logs_and_says_when_there_is_nothing(
+def test_command_reads_several_logs_and_fails_if_no_line_matches(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     first, second = tmp_path / "a.log", tmp_path / "b.log"
--- a/tests/trace/__init__.py
+++ b/tests/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of record and replay."""
+"""Tests of recording and replaying traces."""
