--- a/rhubarbbend/cli/_main.py
+++ b/rhubarbbend/cli/_main.py
@@ -91,7 +91,7 @@
     if report.difference is not None:
         print(f"{options.path}: the actions differ\n{report.difference}")
         return ExitStatus.FAILED
-    truncated = "; the last line is truncated and was left out" if report.truncated else ""
+    truncated = "; the last line is cut and was left out" if report.truncated else ""
     print(
         f"{options.path}: {report.events} events, {report.actions} actions, all the same{truncated}"
     )
--- a/rhubarbbend/trace/_redaction.py
+++ b/rhubarbbend/trace/_redaction.py
@@ -40,6 +40,8 @@
 _KEY_DIGEST: Final = re.compile(r"key-digest\.[0-9a-f]{24}")
 _INVALID_KEY_DIGEST: Final = re.compile(r"no valid key [0-9a-f]{24}")
 _BODY_DIGEST: Final = re.compile(rb"body-digest\.[0-9a-f]{24}")
+# Part of the replacement of a reserved key or ticket that does not verify with the fleet's secret.
+# The replacement does not verify either, so the replayed core treats it as the recorded core did.
 _FORGED: Final = "forged"
 # Names of fields whose value is replaced in every message, event and action.
 _BODY_FIELDS: Final = frozenset({"body"})
