--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,7 @@
-"""Small stand-ins of the systems around the fleet, each its own program; not shipped.
+"""Stand-ins: small fake servers for the systems that the fleet talks to. Test code, not shipped.
 
-`python -m standins platform|engine|plain|proxy|tables|worker --port N ...` starts one. Each prints
-one line, `ready HOST PORT`, once it listens, and has an `/admin/` interface for faults and figures.
+Each stand-in runs as its own process: `python -m standins KIND --port N ...`, where KIND is
+`platform`, `engine`, `plain`, `proxy`, `tables` or `worker`. It prints one line,
+`ready HOST PORT`, once it listens. Tests inject faults and read statistics through HTTP requests
+below `/admin/`.
 """
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one stand-in."""
+"""Command line: starts the stand-in that the arguments name and runs it until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
     parser = argparse.ArgumentParser(prog="standins")
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--host", default="127.0.0.1")
-    kinds = parser.add_subparsers(dest="kind", required=True)
-    platform = kinds.add_parser("platform")
-    platform.add_argument("--lag", type=float, default=0.5, help="seconds the list lags behind")
-    _engine.add_options(kinds.add_parser("engine"))
-    _plain.add_options(kinds.add_parser("plain"))
-    kinds.add_parser("proxy")
-    kinds.add_parser("tables")
-    _worker.add_options(kinds.add_parser("worker"))
+    subparsers = parser.add_subparsers(dest="kind", required=True)
+    platform = subparsers.add_parser("platform")
+    platform.add_argument(
+        "--lag", type=float, default=0.5, help="seconds by which the instance list lags behind"
+    )
+    _engine.add_options(subparsers.add_parser("engine"))
+    _plain.add_options(subparsers.add_parser("plain"))
+    subparsers.add_parser("proxy")
+    subparsers.add_parser("tables")
+    _worker.add_options(subparsers.add_parser("worker"))
     return parser
 
 
@@ -41,8 +43,8 @@
 
 async def _run(options: argparse.Namespace) -> None:
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     stand_in = _make_stand_in(options)
     port = await stand_in.listen(options.host, options.port)
     print(f"ready {options.host} {port}", flush=True)
--- a/standins/_engine.py
+++ b/standins/_engine.py
@@ -1,12 +1,14 @@
-"""A stand-in of a model engine: batches, caches prompt prefixes, starts cold, resumes, cancels.
+"""Stand-in for a model engine: slots, a prefix cache, cold start, resumed and cancelled streams.
 
-Its words are a function of the prompt alone, so that a caller can check each byte. Reading a
-prompt costs time by the token, less what the prefix cache holds; a cold engine reads slowly and
-falls over (drops every request and stalls) when it gets more at once than it can bear.
+The words of a completion depend only on the prompt, so that a caller can check each byte.
+Prefill takes time for each prompt token that is not in the prefix cache. A cold engine prefills
+more slowly, and when it gets more concurrent requests than it can handle it is overloaded: it
+drops all of them and stalls.
 
-Faults by `POST /admin/faults`: `turn_cold`, `crash_on` (a word: a request that holds it ends the
-process), `cut_after` (the next stream is cut after that many bytes), `wrong_id` (the next answer
-carries another id), `double_id`, `stall` (seconds before each head), `state` (reported state).
+`POST /admin/faults` injects faults: `turn_cold` (clear the cache and be cold again), `crash_on`
+(the process exits when a request contains this text), `cut_after` (the next response is cut after
+so many bytes), `wrong_id` (the next response carries another request id), `stall` (seconds added
+before each prefill), `state` (the state that the load report shows).
 """
 
 from __future__ import annotations
@@ -23,23 +25,23 @@
 import msgspec
 
 from rhubarbbend.http import Exchange
-from standins._server import StandIn, answer, read_query
+from standins._server import StandIn, read_query, respond_json
 
 BLOCK_CHARS = 256
 CHARS_PER_TOKEN = 4
-KEEP_FINISHED = 10.0
+FINISHED_RUN_RETENTION_S = 10.0
 EXIT_CRASHED = 70
 
 
 class Message(msgspec.Struct):
-    """One chat message."""
+    """A message of a chat."""
 
     role: str
     content: str
 
 
-class ChatCall(msgspec.Struct):
-    """Body of a chat completion."""
+class ChatRequest(msgspec.Struct):
+    """Body of a chat completion request."""
 
     model: str
     messages: list[Message]
@@ -48,7 +50,7 @@
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present."""
+    """The faults that are active now."""
 
     crash_on: str = ""
     cut_after: int = -1
@@ -58,7 +60,10 @@
 
 
 class Stats(msgspec.Struct):
-    """Figures since the start; times in Unix seconds."""
+    """Statistics since the process started; times are Unix seconds.
+
+    `fell_over` counts how often a cold engine was overloaded.
+    """
 
     boot_id: str
     requests: int = 0
@@ -75,7 +80,7 @@
 
 
 def make_words(messages: list[Message], count: int) -> list[str]:
-    """Give the words that every engine answers to a prompt."""
+    """Return the first `count` words of the completion that every engine gives to a prompt."""
     seed = hashlib.blake2b(digest_size=16)
     for message in messages:
         seed.update(f"{message.role}\0{message.content}\0".encode())
@@ -87,57 +92,60 @@
 
 
 class PrefixCache:
-    """Blocks of prompt prefixes, least recently used out first. Capacity in tokens."""
+    """LRU cache of the blocks of prompt prefixes; `capacity` is in tokens."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = max(1, capacity * CHARS_PER_TOKEN // BLOCK_CHARS)
         self._blocks: OrderedDict[bytes, None] = OrderedDict()
 
     def read(self, text: str) -> int:
-        """Look up a prompt, keep its blocks, and give how many of its tokens were held."""
+        """Insert the blocks of a prompt; return how many of its tokens were already cached."""
         digest = hashlib.blake2b(digest_size=12)
-        held = 0
-        hit = True
+        cached_tokens = 0
+        is_prefix_cached = True
         for start in range(0, len(text) - BLOCK_CHARS + 1, BLOCK_CHARS):
             digest.update(text[start : start + BLOCK_CHARS].encode())
             block = digest.digest()
             if block in self._blocks:
                 self._blocks.move_to_end(block)
-                held += BLOCK_CHARS // CHARS_PER_TOKEN if hit else 0
+                cached_tokens += BLOCK_CHARS // CHARS_PER_TOKEN if is_prefix_cached else 0
             else:
-                hit = False
+                is_prefix_cached = False
                 self._blocks[block] = None
         while len(self._blocks) > self._capacity:
             self._blocks.popitem(last=False)
-        return held
+        return cached_tokens
 
     def count_held(self, text: str) -> int:
-        """Count the tokens of a prompt that are held, without reading it."""
+        """Return how many tokens of a prompt are cached, without changing the cache."""
         digest = hashlib.blake2b(digest_size=12)
-        held = 0
+        cached_tokens = 0
         for start in range(0, len(text) - BLOCK_CHARS + 1, BLOCK_CHARS):
             digest.update(text[start : start + BLOCK_CHARS].encode())
             if digest.digest() not in self._blocks:
                 break
-            held += BLOCK_CHARS // CHARS_PER_TOKEN
-        return held
+            cached_tokens += BLOCK_CHARS // CHARS_PER_TOKEN
+        return cached_tokens
 
     @property
     def size(self) -> int:
-        """Blocks held."""
+        """The number of cached blocks."""
         return len(self._blocks)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Evict all blocks."""
         self._blocks.clear()
 
 
 class Run:
-    """One request: the bytes of its answer so far, and whether they are all there."""
+    """The execution of one request: the response bytes so far, and whether they are complete.
+
+    A streamed run outlives its connection, so that the caller can resume the stream.
+    """
 
-    def __init__(self, call: ChatCall, request: str) -> None:
-        self.call = call
+    def __init__(self, request: ChatRequest, request_id: str) -> None:
         self.request = request
+        self.request_id = request_id
         self.data = bytearray()
         self.changed = asyncio.Event()
         self.done = False
@@ -146,12 +154,12 @@
         self.task: asyncio.Task[None] | None = None
 
     def add(self, data: bytes) -> None:
-        """Append to the answer."""
+        """Append to the response."""
         self.data += data
         self.changed.set()
 
     def end(self, failed: bool) -> None:
-        """Finish the answer."""
+        """Mark the response as complete, or as failed."""
         self.done = True
         self.failed = failed
         self.ended_at = time.time()
@@ -159,7 +167,7 @@
 
 
 class Engine(StandIn):
-    """One engine."""
+    """A model engine; its options are described at `add_options`."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         super().__init__()
@@ -169,45 +177,45 @@
         self._cache = PrefixCache(options.cache_tokens)
         self._slots = asyncio.Semaphore(options.slots)
         self._runs: dict[str, Run] = {}
-        self._cold_left = options.cold_requests
+        self._cold_requests_left = options.cold_requests
         self._stalled_until = 0.0
-        self._reports: list[tuple[float, int]] = [(0.0, 0)]
+        self._running_history: list[tuple[float, int]] = [(0.0, 0)]
 
     async def handle(self, exchange: Exchange, path: str) -> None:
-        """Serve the fleet."""
+        """Handle a chat completion, a request for the load report, or one for an earlier run."""
         if path == "/v1/chat/completions":
-            await self._chat(exchange)
+            await self._handle_chat(exchange)
         elif path == "/v1/load":
-            self._report(exchange)
+            self._send_load_report(exchange)
         elif path.startswith("/v1/requests/"):
-            await self._serve_run(exchange, path.removeprefix("/v1/requests/"))
+            await self._handle_run_request(exchange, path.removeprefix("/v1/requests/"))
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
     async def handle_admin(self, exchange: Exchange, name: str) -> None:
-        """Serve a test."""
+        """Return statistics, reset the highest concurrency, or change the faults."""
         if name == "stats":
-            answer(exchange, self._stats)
+            respond_json(exchange, self._stats)
         elif name == "reset_max":
             self._stats.max_running = self._stats.running
-            answer(exchange, {})
+            respond_json(exchange, {})
         elif name == "faults":
             changes = msgspec.json.decode(exchange.body)
             if changes.pop("turn_cold", False):
-                self._cold_left = self._options.cold_requests
+                self._cold_requests_left = self._options.cold_requests
                 self._cache.clear()
             for field, value in changes.items():
                 setattr(self._faults, field, value)
-            answer(exchange, self._faults)
+            respond_json(exchange, self._faults)
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
-    def _report(self, exchange: Exchange) -> None:
+    def _send_load_report(self, exchange: Exchange) -> None:
         """Report the load as it was `report_lag` seconds ago."""
         now = time.time()
         lag: float = self._options.report_lag
         running = 0
-        for at, count in self._reports:
+        for at, count in self._running_history:
             if at <= now - lag:
                 running = count
         report = {
@@ -218,118 +226,121 @@
             "age": lag,
             "models": self._options.models.split(",") if self._options.models else [],
         }
-        answer(exchange, report)
+        respond_json(exchange, report)
 
-    def _note_running(self, by: int) -> None:
+    def _record_running(self, delta: int) -> None:
         stats = self._stats
-        stats.running += by
+        stats.running += delta
         stats.max_running = max(stats.max_running, stats.running)
         now = time.time()
-        self._reports.append((now, stats.running))
-        while len(self._reports) > 2 and self._reports[1][0] < now - self._options.report_lag:
-            self._reports.pop(0)
-
-    async def _chat(self, exchange: Exchange) -> None:
+        self._running_history.append((now, stats.running))
+        while (
+            len(self._running_history) > 2
+            and self._running_history[1][0] < now - self._options.report_lag
+        ):
+            self._running_history.pop(0)
+
+    async def _handle_chat(self, exchange: Exchange) -> None:
         try:
-            call = msgspec.json.decode(exchange.body, type=ChatCall)
+            request = msgspec.json.decode(exchange.body, type=ChatRequest)
         except msgspec.MsgspecError as error:
-            answer(exchange, {"error": str(error)}, 400)
+            respond_json(exchange, {"error": str(error)}, 400)
             return
-        request = exchange.headers.get("x-request-id", uuid.uuid4().hex)
+        request_id = exchange.headers.get("x-request-id", uuid.uuid4().hex)
         if self._faults.crash_on and self._faults.crash_on.encode() in exchange.body:
-            # A moment later, so that requests beside it are running when the process ends.
+            # Exit with a delay, so that concurrent requests are running when the process exits.
             asyncio.get_running_loop().call_later(0.05, os._exit, EXIT_CRASHED)
-        run = Run(call, request)
-        self._runs[request] = run
-        self._drop_old_runs()
+        run = Run(request, request_id)
+        self._runs[request_id] = run
+        self._expire_finished_runs()
         run.task = asyncio.get_running_loop().create_task(self._generate(run))
-        await self._send_answer(exchange, run)
+        await self._send_response(exchange, run)
 
-    def _drop_old_runs(self) -> None:
-        oldest = time.time() - KEEP_FINISHED
-        for request, run in list(self._runs.items()):
-            if run.done and run.ended_at < oldest:
-                del self._runs[request]
+    def _expire_finished_runs(self) -> None:
+        expiry_time = time.time() - FINISHED_RUN_RETENTION_S
+        for request_id, run in list(self._runs.items()):
+            if run.done and run.ended_at < expiry_time:
+                del self._runs[request_id]
 
     async def _generate(self, run: Run) -> None:
         stats = self._stats
         stats.requests += 1
         stats.last_request = time.time()
-        self._note_running(1)
+        self._record_running(1)
         try:
-            if self._cold_left > 0 and stats.running > self._options.cold_bears:
-                self._fall_over()
+            if self._cold_requests_left > 0 and stats.running > self._options.cold_bears:
+                self._drop_all_runs()
             async with self._slots:
-                cached = await self._read_prompt(run)
-                await self._write_words(run, cached)
+                cached = await self._prefill(run)
+                await self._generate_words(run, cached)
             stats.finished += 1
-            self._cold_left = max(0, self._cold_left - 1)
+            self._cold_requests_left = max(0, self._cold_requests_left - 1)
             run.end(failed=False)
         except asyncio.CancelledError:
             run.end(failed=True)
         finally:
-            self._note_running(-1)
+            self._record_running(-1)
 
-    def _fall_over(self) -> None:
-        """Drop everything and stall: a cold engine got more than it can bear."""
+    def _drop_all_runs(self) -> None:
+        """Cancel all runs and stall: a cold engine got too many concurrent requests."""
         self._stats.fell_over += 1
         self._stalled_until = time.time() + 2.0
         for run in self._runs.values():
             if run.task is not None and not run.done:
                 run.task.cancel()
 
-    async def _read_prompt(self, run: Run) -> int:
-        text = "".join(f"{m.role}\0{m.content}\0" for m in run.call.messages)
+    async def _prefill(self, run: Run) -> int:
+        text = "".join(f"{m.role}\0{m.content}\0" for m in run.request.messages)
         tokens = len(text) // CHARS_PER_TOKEN
         cached = self._cache.read(text)
         self._stats.prompt_tokens += tokens
         self._stats.cached_tokens += cached
         rate = self._options.prefill_rate
-        if self._cold_left > 0:
+        if self._cold_requests_left > 0:
             rate /= self._options.cold_factor
         stall = max(0.0, self._stalled_until - time.time()) + self._faults.stall
         await asyncio.sleep(stall + (tokens - cached) / rate)
         return cached
 
-    async def _write_words(self, run: Run, cached: int) -> None:
-        words = make_words(run.call.messages, run.call.max_tokens)
-        step = self._options.token_time
+    async def _generate_words(self, run: Run, cached: int) -> None:
+        words = make_words(run.request.messages, run.request.max_tokens)
+        token_time = self._options.token_time
         usage = {
-            "prompt_tokens": sum(len(m.content) for m in run.call.messages) // CHARS_PER_TOKEN,
+            "prompt_tokens": sum(len(m.content) for m in run.request.messages) // CHARS_PER_TOKEN,
             "completion_tokens": len(words),
             "prompt_tokens_details": {"cached_tokens": cached},
         }
-        if run.call.stream:
+        if run.request.stream:
             for word in words:
-                await asyncio.sleep(step)
+                await asyncio.sleep(token_time)
                 run.add(_make_chunk(run, {"content": word}, None, None))
                 self._stats.completion_tokens += 1
             run.add(_make_chunk(run, {}, "stop", usage) + b"data: [DONE]\n\n")
             return
-        await asyncio.sleep(step * len(words))
+        await asyncio.sleep(token_time * len(words))
         self._stats.completion_tokens += len(words)
         message = {"role": "assistant", "content": "".join(words)}
         body = {
-            "id": run.request,
+            "id": run.request_id,
             "object": "chat.completion",
-            "model": run.call.model,
+            "model": run.request.model,
             "choices": [{"index": 0, "message": message, "finish_reason": "stop"}],
             "usage": usage,
         }
         run.add(msgspec.json.encode(body))
 
-    async def _send_answer(self, exchange: Exchange, run: Run) -> None:
-        if not run.call.stream:
-            await self._wait_done(exchange, run)
+    async def _send_response(self, exchange: Exchange, run: Run) -> None:
+        if not run.request.stream:
+            await self._wait_until_done(exchange, run)
             if run.failed or exchange.closed.is_set():
                 self._cancel(run)
                 exchange.abort()
                 return
             body = bytes(run.data)
-            exchange.start(200, self._make_head(run, len(body)))
-            cut = self._take_cut()
-            if cut >= 0:
-                exchange.write(body[:cut])
+            exchange.start(200, self._make_response_headers(run, len(body)))
+            cut_after = self._consume_cut_after()
+            if cut_after >= 0:
+                exchange.write(body[:cut_after])
                 exchange.abort_after_flush()
                 return
             exchange.write(body)
@@ -337,32 +348,32 @@
             return
         await self._send_stream(exchange, run, 0)
 
-    def _take_cut(self) -> int:
-        cut, self._faults.cut_after = self._faults.cut_after, -1
-        return cut
+    def _consume_cut_after(self) -> int:
+        cut_after, self._faults.cut_after = self._faults.cut_after, -1
+        return cut_after
 
-    def _make_head(self, run: Run, length: int = -1) -> list[tuple[str, str]]:
-        request = run.request
+    def _make_response_headers(self, run: Run, length: int = -1) -> list[tuple[str, str]]:
+        request_id = run.request_id
         if self._faults.wrong_id:
             self._faults.wrong_id = False
-            request = "another-" + request
-        kind = "text/event-stream" if run.call.stream else "application/json"
-        head = [("Content-Type", kind), ("X-Request-Id", request)]
+            request_id = "another-" + request_id
+        content_type = "text/event-stream" if run.request.stream else "application/json"
+        response_headers = [("Content-Type", content_type), ("X-Request-Id", request_id)]
         if length >= 0:
-            head.append(("Content-Length", str(length)))
-        return head
+            response_headers.append(("Content-Length", str(length)))
+        return response_headers
 
     async def _send_stream(self, exchange: Exchange, run: Run, offset: int) -> None:
         while not run.data and not run.done:
-            await self._wait_change(exchange, run)
+            await self._wait_for_change(exchange, run)
             if exchange.closed.is_set():
                 break
-        exchange.start(200, self._make_head(run))
-        cut = self._take_cut()
+        exchange.start(200, self._make_response_headers(run))
+        cut_after = self._consume_cut_after()
         while not exchange.closed.is_set():
             end = len(run.data)
-            if cut >= 0 and end >= cut:
-                exchange.write(bytes(run.data[offset:cut]))
+            if cut_after >= 0 and end >= cut_after:
+                exchange.write(bytes(run.data[offset:cut_after]))
                 exchange.abort_after_flush()
                 return
             if end > offset:
@@ -376,9 +387,9 @@
                     exchange.finish()
                 return
             else:
-                await self._wait_change(exchange, run)
+                await self._wait_for_change(exchange, run)
 
-    async def _wait_change(self, exchange: Exchange, run: Run) -> None:
+    async def _wait_for_change(self, exchange: Exchange, run: Run) -> None:
         run.changed.clear()
         if run.done:
             return
@@ -388,23 +399,23 @@
         changed.cancel()
         closed.cancel()
 
-    async def _wait_done(self, exchange: Exchange, run: Run) -> None:
+    async def _wait_until_done(self, exchange: Exchange, run: Run) -> None:
         while not run.done and not exchange.closed.is_set():
-            await self._wait_change(exchange, run)
+            await self._wait_for_change(exchange, run)
 
-    async def _serve_run(self, exchange: Exchange, rest: str) -> None:
-        request, _, what = rest.partition("/")
-        run = self._runs.get(unquote(request))
+    async def _handle_run_request(self, exchange: Exchange, subpath: str) -> None:
+        request_id, _, action = subpath.partition("/")
+        run = self._runs.get(unquote(request_id))
         if run is None:
-            answer(exchange, {"error": "no such request"}, 404)
+            respond_json(exchange, {"error": "no such request"}, 404)
         elif exchange.method == "DELETE":
             self._cancel(run)
-            answer(exchange, {})
-        elif what == "stream":
+            respond_json(exchange, {})
+        elif action == "stream":
             self._stats.resumed += 1
             await self._send_stream(exchange, run, int(read_query(exchange).get("offset", "0")))
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
     def _cancel(self, run: Run) -> None:
         if run.task is not None and not run.done:
@@ -414,9 +425,9 @@
 
 def _make_chunk(run: Run, delta: object, finish: str | None, usage: object) -> bytes:
     chunk: dict[str, object] = {
-        "id": run.request,
+        "id": run.request_id,
         "object": "chat.completion.chunk",
-        "model": run.call.model,
+        "model": run.request.model,
         "choices": [{"index": 0, "delta": delta, "finish_reason": finish}],
     }
     if usage is not None:
@@ -425,7 +436,13 @@
 
 
 def add_options(parser: argparse.ArgumentParser) -> None:
-    """Add the engine's options; rates are in tokens a second, times in seconds."""
+    """Add the command-line options of an engine.
+
+    `--cache-tokens` is the size of the prefix cache, `--prefill-rate` is in tokens per second,
+    `--token-time` is the seconds for each completion word. The engine is cold for its first
+    `--cold-requests` requests: then more than `--cold-bears` concurrent requests overload it, and
+    its prefill is slower by `--cold-factor`. `--report-lag` is the age of load reports in seconds.
+    """
     parser.add_argument("--slots", type=int, default=8)
     parser.add_argument("--cache-tokens", type=int, default=60_000)
     parser.add_argument("--prefill-rate", type=float, default=20_000.0)
@@ -438,5 +455,5 @@
 
 
 def make_engine(options: argparse.Namespace) -> Engine:
-    """Make an engine from its options."""
+    """Make an engine from its command-line options."""
     return Engine(options)
--- a/standins/_plain.py
+++ b/standins/_plain.py
@@ -1,9 +1,12 @@
-"""A stand-in of a plain service: counts how often each key was run, so that a double run shows.
-
-Faults by `POST /admin/faults`: `delay` (seconds before each run), `hold` (seconds between the run
-and its answer), `crash_before`, `crash_after` (end the process at the next command, before or
-after its run is counted), `silent` (the next command runs and is not answered). Counts survive a
-crash in the file given by `--journal`.
+"""Stand-in for a plain service.
+
+It counts the executions of each idempotency key, so that a test can detect a command that was
+executed twice. `POST /admin/faults` injects faults: `delay` (seconds before each execution),
+`hold` (seconds between the execution and its response), `crash_before` and `crash_after` (the
+process exits at the next command, before or after its execution is counted), `silent` (the next
+command is executed but gets no response), `crash_on` (the process exits when a request body
+contains this text), `state` (the state that the load report shows). The file given by `--journal`
+keeps one line for each execution, so that the counts survive a crash.
 """
 
 from __future__ import annotations
@@ -19,14 +22,15 @@
 import msgspec
 
 from rhubarbbend.http import Exchange
-from standins._server import StandIn, answer
+from standins._server import StandIn, respond_json
 
 EXIT_CRASHED = 70
-HANG_SECONDS = 60.0
+# How long a command that gets no response is held, when `silent` is set.
+HANG_TIMEOUT_S = 60.0
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present."""
+    """The faults that are active now."""
 
     delay: float = 0.0
     hold: float = 0.0
@@ -38,7 +42,7 @@
 
 
 class Stats(msgspec.Struct):
-    """Figures since the start; times in Unix seconds."""
+    """Statistics since the process started; times are Unix seconds."""
 
     boot_id: str
     requests: int = 0
@@ -59,9 +63,9 @@
         self._journal = Path(options.journal) if options.journal else None
 
     async def handle(self, exchange: Exchange, path: str) -> None:
-        """Serve the fleet."""
+        """Handle a command, a lookup or a request for the load report."""
         if path == "/v1/load":
-            report = {
+            load_report = {
                 "boot_id": self._stats.boot_id,
                 "state": self._faults.state or "ready",
                 "running": self._stats.running,
@@ -69,7 +73,7 @@
                 "age": 0.0,
                 "models": [],
             }
-            answer(exchange, report)
+            respond_json(exchange, load_report)
             return
         stats = self._stats
         stats.requests += 1
@@ -80,51 +84,51 @@
             if self._faults.crash_on and self._faults.crash_on.encode() in exchange.body:
                 os._exit(EXIT_CRASHED)
             if exchange.method == "GET":
-                await self._look_up(exchange, path)
+                await self._handle_lookup(exchange, path)
             else:
-                await self._run(exchange, path)
+                await self._handle_command(exchange, path)
         finally:
             stats.running -= 1
 
     async def handle_admin(self, exchange: Exchange, name: str) -> None:
-        """Serve a test."""
+        """Return execution counts or statistics, or change the faults."""
         if name == "runs":
-            answer(exchange, dict(self._runs))
+            respond_json(exchange, dict(self._runs))
         elif name == "stats":
-            answer(exchange, self._stats)
+            respond_json(exchange, self._stats)
         elif name == "faults":
             for field, value in msgspec.json.decode(exchange.body).items():
                 setattr(self._faults, field, value)
-            answer(exchange, self._faults)
+            respond_json(exchange, self._faults)
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
-    async def _look_up(self, exchange: Exchange, path: str) -> None:
+    async def _handle_lookup(self, exchange: Exchange, path: str) -> None:
         await asyncio.sleep(self._faults.delay)
-        self._answer(exchange, {"path": path, "free": len(path) % 2 == 0})
+        self._respond(exchange, {"path": path, "free": len(path) % 2 == 0})
 
-    async def _run(self, exchange: Exchange, path: str) -> None:
+    async def _handle_command(self, exchange: Exchange, path: str) -> None:
         key = exchange.headers.get("idempotency-key", "")
         await asyncio.sleep(self._faults.delay)
         if self._faults.crash_before:
             os._exit(EXIT_CRASHED)
-        self._count(key)
+        self._record_run(key)
         if self._faults.crash_after:
             os._exit(EXIT_CRASHED)
         await asyncio.sleep(self._faults.hold)
         if self._faults.silent:
             self._faults.silent = False
-            await asyncio.sleep(HANG_SECONDS)
-        digest = len(exchange.body)
-        self._answer(exchange, {"path": path, "key": key, "done": True, "size": digest})
+            await asyncio.sleep(HANG_TIMEOUT_S)
+        size = len(exchange.body)
+        self._respond(exchange, {"path": path, "key": key, "done": True, "size": size})
 
-    def _count(self, key: str) -> None:
+    def _record_run(self, key: str) -> None:
         self._runs[key] += 1
         if self._journal is not None:
             with self._journal.open("a", encoding="utf-8") as journal:
                 journal.write(key + "\n")
 
-    def _answer(self, exchange: Exchange, value: object) -> None:
+    def _respond(self, exchange: Exchange, value: object) -> None:
         headers = [
             ("Content-Type", "application/json"),
             ("X-Request-Id", exchange.headers.get("x-request-id", "")),
@@ -133,12 +137,12 @@
 
 
 def add_options(parser: argparse.ArgumentParser) -> None:
-    """Add the service's options."""
+    """Add the command-line options of a plain service; `--delay` is in seconds."""
     parser.add_argument("--slots", type=int, default=16)
     parser.add_argument("--delay", type=float, default=0.005)
     parser.add_argument("--journal", default="")
 
 
 def make_service(options: argparse.Namespace) -> PlainService:
-    """Make a service from its options."""
+    """Make a plain service from its command-line options."""
     return PlainService(options)
--- a/standins/_platform.py
+++ b/standins/_platform.py
@@ -1,8 +1,9 @@
-"""A stand-in of the platform: tables with conditional writes, objects, and a lagging list.
+"""Stand-in for the platform: tables with conditional writes, objects and a list of instances.
 
-Faults are set by `POST /admin/faults` with any of: `outage` (calls hang), `delay` (seconds),
-`lose_answers` (how many writes take effect and are not answered), `stale` (reads see the tables
-of that many seconds ago at most), `list_outage`.
+The list lags behind by a configured time. `POST /admin/faults` injects faults: `outage` (requests
+hang), `delay` (seconds before each response), `lose_answers` (the number of writes that take
+effect but get no response), `stale` (reads do not see rows that were written within the last so
+many seconds), `list_outage` (requests for the list hang).
 """
 
 from __future__ import annotations
@@ -17,13 +18,14 @@
 
 from rhubarbbend.core.actions import Write
 from rhubarbbend.http import Exchange
-from standins._server import StandIn, answer, read_query
+from standins._server import StandIn, read_query, respond_json
 
-HANG_SECONDS = 30.0
+# How long a request that gets no response is kept open.
+HANG_TIMEOUT_S = 30.0
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present."""
+    """The faults that are active now."""
 
     outage: bool = False
     delay: float = 0.0
@@ -32,8 +34,12 @@
     stale: float = 0.0
 
 
-class Entry(msgspec.Struct):
-    """An entry of the list. `addresses` gives, by the viewer's zone, another host and port."""
+class InstanceEntry(msgspec.Struct):
+    """One entry of the instance list.
+
+    `addresses` maps the availability zone of a reader to the host, port and peer port that this
+    reader sees instead.
+    """
 
     id: str
     kind: str
@@ -47,7 +53,7 @@
 
 
 class StoredRow(msgspec.Struct):
-    """A row with the time of its last write."""
+    """A table row; `at` is the Unix time of its last write."""
 
     key: str
     value: bytes
@@ -55,15 +61,15 @@
     at: float = 0.0
 
 
-class WriteCall(msgspec.Struct):
-    """Body of a transaction."""
+class WriteRequest(msgspec.Struct):
+    """Body of a write request; if `atomic`, all writes are applied or none."""
 
     writes: list[Write]
     atomic: bool = False
 
 
 class Platform(StandIn):
-    """Tables, objects and the list, in memory."""
+    """The platform's tables, objects and instance list, in memory."""
 
     def __init__(self, lag: float) -> None:
         super().__init__()
@@ -71,88 +77,90 @@
         self._faults = Faults()
         self._tables: dict[str, SortedDict[str, StoredRow]] = {}
         self._objects: dict[str, bytes] = {}
-        self._entries: dict[str, Entry] = {}
-        self._history: deque[tuple[float, list[Entry]]] = deque()
+        self._entries: dict[str, InstanceEntry] = {}
+        self._list_history: deque[tuple[float, list[InstanceEntry]]] = deque()
         self.counts: dict[str, int] = {"writes": 0, "rows": 0, "reads": 0, "lists": 0}
 
     async def handle(self, exchange: Exchange, path: str) -> None:
-        """Serve the fleet."""
+        """Handle a request for tables, objects or the instance list."""
         if self._faults.delay:
             await asyncio.sleep(self._faults.delay)
         if self._faults.outage:
             await self._hang(exchange)
             return
         if path == "/tables/write":
-            await self._write(exchange)
+            await self._handle_write(exchange)
         elif path == "/tables/read":
-            self._read(exchange)
+            self._handle_read(exchange)
         elif path == "/tables/scan":
-            self._scan(exchange)
+            self._handle_scan(exchange)
         elif path.startswith("/objects/"):
-            self._serve_object(exchange, path)
+            self._handle_object(exchange, path)
         elif path == "/instances":
-            await self._list(exchange)
+            await self._handle_list(exchange)
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
     async def handle_admin(self, exchange: Exchange, name: str) -> None:
-        """Serve a test: faults, the list, figures and rows."""
+        """Change the faults or the instance list, or return request counts or a table's rows."""
         if name == "faults":
             changes = msgspec.json.decode(exchange.body)
             for field, value in changes.items():
                 setattr(self._faults, field, value)
-            answer(exchange, self._faults)
+            respond_json(exchange, self._faults)
         elif name == "entries":
-            for entry in msgspec.json.decode(exchange.body, type=list[Entry]):
+            for entry in msgspec.json.decode(exchange.body, type=list[InstanceEntry]):
                 self._entries[entry.id] = entry
-            self._note_list()
-            answer(exchange, {})
+            self._record_instance_list()
+            respond_json(exchange, {})
         elif name == "remove":
-            for known in msgspec.json.decode(exchange.body, type=list[str]):
-                self._entries.pop(known, None)
-            self._note_list()
-            answer(exchange, {})
+            for instance_id in msgspec.json.decode(exchange.body, type=list[str]):
+                self._entries.pop(instance_id, None)
+            self._record_instance_list()
+            respond_json(exchange, {})
         elif name == "counts":
-            answer(exchange, self.counts)
+            respond_json(exchange, self.counts)
         elif name == "rows":
             table = self._tables.get(read_query(exchange)["table"], SortedDict())
-            answer(exchange, list(table.values()))
+            respond_json(exchange, list(table.values()))
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
     async def _hang(self, exchange: Exchange) -> None:
-        with_timeout = asyncio.wait_for(exchange.closed.wait(), HANG_SECONDS)
+        with_timeout = asyncio.wait_for(exchange.closed.wait(), HANG_TIMEOUT_S)
         try:
             await with_timeout
         except TimeoutError:
             pass
         exchange.abort()
 
-    async def _write(self, exchange: Exchange) -> None:
-        call = msgspec.json.decode(exchange.body, type=WriteCall)
+    async def _handle_write(self, exchange: Exchange) -> None:
+        request = msgspec.json.decode(exchange.body, type=WriteRequest)
         self.counts["writes"] += 1
-        self.counts["rows"] += len(call.writes)
-        fits = [self._fits(write) for write in call.writes]
-        run = all(fits) if call.atomic else True
-        applied = [fit and run for fit in fits]
+        self.counts["rows"] += len(request.writes)
+        matches = [self._is_version_expected(write) for write in request.writes]
+        can_apply = all(matches) if request.atomic else True
+        applied = [match and can_apply for match in matches]
         rows: list[StoredRow | None] = []
-        for write, apply in zip(call.writes, applied, strict=True):
-            rows.append(self._put(write) if apply else self._find(write.table, write.key))
+        for write, is_applied in zip(request.writes, applied, strict=True):
+            rows.append(
+                self._put_row(write) if is_applied else self._find_row(write.table, write.key)
+            )
         if self._faults.lose_answers > 0:
             self._faults.lose_answers -= 1
             await self._hang(exchange)
             return
-        answer(exchange, {"applied": applied, "rows": rows})
+        respond_json(exchange, {"applied": applied, "rows": rows})
 
-    def _find(self, table: str, key: str) -> StoredRow | None:
+    def _find_row(self, table: str, key: str) -> StoredRow | None:
         found: StoredRow | None = self._tables.get(table, SortedDict()).get(key)
         return found
 
-    def _fits(self, write: Write) -> bool:
-        row = self._find(write.table, write.key)
+    def _is_version_expected(self, write: Write) -> bool:
+        row = self._find_row(write.table, write.key)
         return write.expect < 0 or write.expect == (0 if row is None else row.version)
 
-    def _put(self, write: Write) -> StoredRow:
+    def _put_row(self, write: Write) -> StoredRow:
         table = self._tables.setdefault(write.table, SortedDict())
         row = table.get(write.key)
         version = 1 if row is None else row.version + 1
@@ -160,13 +168,13 @@
         table[write.key] = stored
         return stored
 
-    def _read(self, exchange: Exchange) -> None:
+    def _handle_read(self, exchange: Exchange) -> None:
         self.counts["reads"] += 1
         query = read_query(exchange)
-        row = self._find(query["table"], query["key"])
-        answer(exchange, {"row": row if row is None or self._is_visible(row) else None})
+        row = self._find_row(query["table"], query["key"])
+        respond_json(exchange, {"row": row if row is None or self._is_visible(row) else None})
 
-    def _scan(self, exchange: Exchange) -> None:
+    def _handle_scan(self, exchange: Exchange) -> None:
         self.counts["reads"] += 1
         query = read_query(exchange)
         table = self._tables.get(query["table"], SortedDict())
@@ -176,42 +184,42 @@
             if len(rows) >= limit or not self._is_visible(table[key]):
                 break
             rows.append(table[key])
-        answer(exchange, {"rows": rows})
+        respond_json(exchange, {"rows": rows})
 
     def _is_visible(self, row: StoredRow) -> bool:
         return not self._faults.stale or row.at <= time.time() - self._faults.stale
 
-    def _serve_object(self, exchange: Exchange, path: str) -> None:
+    def _handle_object(self, exchange: Exchange, path: str) -> None:
         name = path.removeprefix("/objects/")
         if exchange.method == "PUT":
             self._objects[name] = exchange.body
-            answer(exchange, {})
+            respond_json(exchange, {})
         elif name in self._objects:
             exchange.respond(200, [], self._objects[name])
         else:
-            answer(exchange, {"error": "no such object"}, 404)
+            respond_json(exchange, {"error": "no such object"}, 404)
 
-    def _note_list(self) -> None:
-        self._history.append((time.time(), list(self._entries.values())))
-        while len(self._history) > 1 and self._history[1][0] < time.time() - self._lag:
-            self._history.popleft()
+    def _record_instance_list(self) -> None:
+        self._list_history.append((time.time(), list(self._entries.values())))
+        while len(self._list_history) > 1 and self._list_history[1][0] < time.time() - self._lag:
+            self._list_history.popleft()
 
-    async def _list(self, exchange: Exchange) -> None:
+    async def _handle_list(self, exchange: Exchange) -> None:
         if self._faults.list_outage:
             await self._hang(exchange)
             return
         self.counts["lists"] += 1
         zone = read_query(exchange).get("zone", "")
-        entries: list[Entry] = []
-        for at, known in self._history:
+        entries: list[InstanceEntry] = []
+        for at, instances in self._list_history:
             if at <= time.time() - self._lag:
-                entries = known
-        answer(exchange, {"entries": [_show_to(entry, zone) for entry in entries]})
+                entries = instances
+        respond_json(exchange, {"entries": [_make_view(entry, zone) for entry in entries]})
 
 
-def _show_to(entry: Entry, zone: str) -> dict[str, Any]:
-    shown: dict[str, Any] = msgspec.to_builtins(entry)
-    addresses = shown.pop("addresses")
+def _make_view(entry: InstanceEntry, zone: str) -> dict[str, Any]:
+    view: dict[str, Any] = msgspec.to_builtins(entry)
+    addresses = view.pop("addresses")
     if zone in addresses:
-        shown["host"], shown["port"], shown["peer_port"] = addresses[zone]
-    return shown
+        view["host"], view["port"], view["peer_port"] = addresses[zone]
+    return view
--- a/standins/_proxy.py
+++ b/standins/_proxy.py
@@ -1,11 +1,18 @@
 """A fault-injecting TCP proxy: many routes in one process, each with its own faults.
 
-`POST /admin/routes` {"to": [host, port], "port": 0} opens a route and gives its port.
-`POST /admin/faults` {"ports": [...], ...} sets on routes any of: `refuse` (new connections are
-closed), `deaf` (new ones are not taken, for good), `cut` (close the open ones now), `freeze` (the
-open ones go silent for good, both ways, while new ones work), `blackhole` (open and new ones are
-silent), `mute` (what comes back is held up, so that requests arrive and answers do not), `delay`
-(seconds each way), `truncate` (close after that many bytes of answer; -1: never).
+`POST /admin/routes` with {"to": [host, port], "port": 0} opens a route and returns its port.
+`POST /admin/faults` with {"ports": [...], ...} sets any of these faults on the routes with these
+ports:
+
+- `refuse`: new connections are closed at once.
+- `deaf`: the listening socket is closed; this cannot be undone.
+- `cut`: all open connections are closed now.
+- `freeze`: open connections transfer nothing more in either direction, permanently; new
+  connections work.
+- `blackhole`: open and new connections transfer nothing.
+- `mute`: data from the upstream is held back: requests arrive, responses do not.
+- `delay`: seconds that data is delayed, in each direction.
+- `truncate`: a connection is closed after so many bytes of response; -1: never.
 """
 
 from __future__ import annotations
@@ -17,14 +24,14 @@
 import msgspec
 
 from rhubarbbend.http import Exchange
-from standins._server import StandIn, answer
+from standins._server import StandIn, respond_json
 
-READ_SIZE = 65_536
+READ_SIZE_BYTES = 65_536
 
 
 @attrs.define(slots=True, eq=False)
-class Pipe:
-    """One proxied connection."""
+class ProxiedConnection:
+    """A client's connection and its upstream connection."""
 
     writers: list[asyncio.StreamWriter] = attrs.Factory(list)
     frozen: bool = False
@@ -32,29 +39,29 @@
 
 @attrs.define(slots=True)
 class Route:
-    """A listening port and where it leads."""
+    """A listening port, the upstream address it forwards to, and its faults."""
 
-    to: tuple[str, int]
+    upstream: tuple[str, int]
     refuse: bool = False
     blackhole: bool = False
     server: asyncio.Server | None = None
     mute: bool = False
     delay: float = 0.0
     truncate: int = -1
-    pipes: set[Pipe] = attrs.Factory(set)
-    bytes_forward: int = 0
-    bytes_back: int = 0
+    connections: set[ProxiedConnection] = attrs.Factory(set)
+    request_bytes: int = 0
+    response_bytes: int = 0
 
 
-class RouteCall(msgspec.Struct):
-    """Body of a request for a route."""
+class RouteRequest(msgspec.Struct):
+    """Body of a request to open a route."""
 
     to: tuple[str, int]
     port: int = 0
 
 
-class FaultCall(msgspec.Struct):
-    """Body of a change of faults."""
+class FaultRequest(msgspec.Struct):
+    """Body of a request to change the faults of routes."""
 
     ports: list[int]
     refuse: bool | None = None
@@ -68,7 +75,7 @@
 
 
 class Proxy(StandIn):
-    """All routes."""
+    """The proxy with all its routes."""
 
     def __init__(self, host: str) -> None:
         super().__init__()
@@ -77,38 +84,38 @@
         self._servers: list[asyncio.Server] = []
 
     async def handle_admin(self, exchange: Exchange, name: str) -> None:
-        """Open routes, set faults, show bytes."""
+        """Open a route, change faults, or return the bytes forwarded on each route."""
         if name == "routes":
-            call = msgspec.json.decode(exchange.body, type=RouteCall)
-            answer(exchange, {"port": await self._open(call)})
+            request = msgspec.json.decode(exchange.body, type=RouteRequest)
+            respond_json(exchange, {"port": await self._open_route(request)})
         elif name == "faults":
-            faults = msgspec.json.decode(exchange.body, type=FaultCall)
+            faults = msgspec.json.decode(exchange.body, type=FaultRequest)
             for port in faults.ports:
                 self._set_faults(self._routes[port], faults)
-            answer(exchange, {})
+            respond_json(exchange, {})
         elif name == "bytes":
             counts = {
-                str(port): [route.bytes_forward, route.bytes_back]
+                str(port): [route.request_bytes, route.response_bytes]
                 for port, route in self._routes.items()
             }
-            answer(exchange, counts)
+            respond_json(exchange, counts)
         else:
-            answer(exchange, {"error": "no such path"}, 404)
+            respond_json(exchange, {"error": "no such path"}, 404)
 
-    async def _open(self, call: RouteCall) -> int:
-        route = Route(call.to)
+    async def _open_route(self, request: RouteRequest) -> int:
+        route = Route(request.to)
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await self._carry(route, reader, writer)
+            await self._proxy_connection(route, reader, writer)
 
-        server = await asyncio.start_server(accept, self._host, call.port)
+        server = await asyncio.start_server(accept, self._host, request.port)
         self._servers.append(server)
         port = int(server.sockets[0].getsockname()[1])
         self._routes[port] = route
         route.server = server
         return port
 
-    def _set_faults(self, route: Route, faults: FaultCall) -> None:
+    def _set_faults(self, route: Route, faults: FaultRequest) -> None:
         for field in ("refuse", "blackhole", "mute", "delay", "truncate"):
             value = getattr(faults, field)
             if value is not None:
@@ -116,67 +123,67 @@
         if faults.deaf and route.server is not None:
             route.server.close()
         if faults.freeze:
-            for pipe in route.pipes:
-                pipe.frozen = True
+            for connection in route.connections:
+                connection.frozen = True
         if faults.cut:
-            for pipe in list(route.pipes):
-                for writer in pipe.writers:
+            for connection in list(route.connections):
+                for writer in connection.writers:
                     writer.transport.abort()
 
-    async def _carry(
+    async def _proxy_connection(
         self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if route.refuse:
             writer.transport.abort()
             return
-        pipe = Pipe([writer])
-        route.pipes.add(pipe)
+        connection = ProxiedConnection([writer])
+        route.connections.add(connection)
         try:
-            await self._wait_blackhole(route)
-            far_reader, far_writer = await asyncio.open_connection(*route.to)
-            pipe.writers.append(far_writer)
-            there = self._pump(route, pipe, reader, far_writer, False)
-            back = self._pump(route, pipe, far_reader, writer, True)
-            await asyncio.gather(there, back)
+            await self._wait_while_blackholed(route)
+            upstream_reader, upstream_writer = await asyncio.open_connection(*route.upstream)
+            connection.writers.append(upstream_writer)
+            requests = self._forward_bytes(route, connection, reader, upstream_writer, False)
+            responses = self._forward_bytes(route, connection, upstream_reader, writer, True)
+            await asyncio.gather(requests, responses)
         except OSError:
             pass
         finally:
-            route.pipes.discard(pipe)
-            for opened in pipe.writers:
-                opened.transport.abort()
+            route.connections.discard(connection)
+            for open_writer in connection.writers:
+                open_writer.transport.abort()
 
-    async def _wait_blackhole(self, route: Route) -> None:
+    async def _wait_while_blackholed(self, route: Route) -> None:
         while route.blackhole:
             await asyncio.sleep(0.05)
 
-    async def _pump(
+    async def _forward_bytes(
         self,
         route: Route,
-        pipe: Pipe,
+        connection: ProxiedConnection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        is_back: bool,
+        is_response: bool,
     ) -> None:
-        carried = 0
+        forwarded = 0
         while True:
-            data = await reader.read(READ_SIZE)
+            data = await reader.read(READ_SIZE_BYTES)
             if not data:
                 break
             if route.delay:
                 await asyncio.sleep(route.delay)
-            while pipe.frozen or route.blackhole or (is_back and route.mute):
+            while connection.frozen or route.blackhole or (is_response and route.mute):
                 await asyncio.sleep(0.05)
-            if is_back:
-                route.bytes_back += len(data)
-                if route.truncate >= 0 and carried + len(data) > route.truncate:
-                    writer.write(data[: route.truncate - carried])
+            if is_response:
+                route.response_bytes += len(data)
+                if route.truncate >= 0 and forwarded + len(data) > route.truncate:
+                    writer.write(data[: route.truncate - forwarded])
                     await writer.drain()
-                    for opened in pipe.writers:
-                        opened.close()
+                    for open_writer in connection.writers:
+                        open_writer.close()
                     return
             else:
-                route.bytes_forward += len(data)
-            carried += len(data)
+                route.request_bytes += len(data)
+            forwarded += len(data)
             writer.write(data)
             await writer.drain()
         with contextlib.suppress(OSError):
--- a/standins/_server.py
+++ b/standins/_server.py
@@ -1,4 +1,4 @@
-"""The HTTP frame that every stand-in shares: routes by method and path, JSON in and out."""
+"""The HTTP server that the stand-ins share: dispatch by path, and JSON responses."""
 
 from __future__ import annotations
 
@@ -15,25 +15,29 @@
 JSON_HEADERS = [("Content-Type", "application/json")]
 
 
-def answer(exchange: Exchange, value: Any, status: int = 200) -> None:
-    """Answer with JSON."""
+def respond_json(exchange: Exchange, value: Any, status: int = 200) -> None:
+    """Send `value` as a JSON response."""
     exchange.respond(status, JSON_HEADERS, msgspec.json.encode(value))
 
 
 def read_query(exchange: Exchange) -> dict[str, str]:
-    """Read the query of a request, the last value of each name."""
+    """Return the query parameters of a request; of a repeated name, the last value counts."""
     query = parse_qs(urlsplit(exchange.target).query, keep_blank_values=True)
     return {name: values[-1] for name, values in query.items()}
 
 
 class StandIn:
-    """A stand-in's server. Subclasses override `handle`; `/admin/` goes to `handle_admin`."""
+    """Base class of the stand-ins.
+
+    Requests below `/admin/` go to `handle_admin`, all others to `handle`; subclasses override
+    both.
+    """
 
     def __init__(self) -> None:
         self.server = HttpServer(self._dispatch, ServerLimits(max_body_bytes=64 * 1024 * 1024))
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to accept; returns the port in use."""
+        """Start to accept connections; port 0 picks a free one. Return the port in use."""
         return await self.server.listen(host, port)
 
     async def _dispatch(self, exchange: Exchange) -> None:
@@ -44,9 +48,12 @@
             await self.handle(exchange, path)
 
     async def handle(self, exchange: Exchange, path: str) -> None:
-        """Answer a request of the fleet."""
+        """Handle a request sent by the fleet."""
         raise NotImplementedError
 
     async def handle_admin(self, exchange: Exchange, name: str) -> None:
-        """Answer a request of a test: faults and figures."""
+        """Handle a request sent by a test: inject faults or return statistics.
+
+        `name` is the path after `/admin/`.
+        """
         raise NotImplementedError
--- a/standins/_tables.py
+++ b/standins/_tables.py
@@ -1,9 +1,10 @@
-"""A stand-in of the users' store: tables of versioned rows with a feed of their changes.
+"""Stand-in for the users' store: tables of versioned rows with a feed of their changes.
 
-Tests write rows of any table by `POST /admin/rows` {"table", "key", "value" or null}. Faults are
-set by `POST /admin/faults` with any of: `status` (answer every call with it; 0: none), `silent`
-(calls get no answer), `delay` (seconds), `lose_answers` (so many writes take effect and get none),
-`forget` (drop the history now, so that feeds get 410).
+Tests write rows of any table by `POST /admin/rows` with {"table", "key", "value"}; a null value
+deletes the row. `POST /admin/faults` injects faults: `status` (the status code of every response;
+0: none), `silent` (requests get no response), `delay` (seconds before each response),
+`lose_answers` (the number of writes that take effect but get no response), `forget` (drop the
+change history now, so that feeds from an earlier revision get status 410).
 """
 
 from __future__ import annotations
@@ -16,15 +17,16 @@
 import msgspec
 
 from rhubarbbend.http import Exchange
-from standins._server import StandIn, answer, read_query
+from standins._server import StandIn, read_query, respond_json
 
-HANG_SECONDS = 60.0
-# Tables that only operators and targets write.
-PROTECTED = ("op", "servers")
+# How long a request that gets no response is kept open.
+HANG_TIMEOUT_S = 60.0
+# Only operators and targets write these tables; transactions of the fleet get status 403.
+READ_ONLY_TABLES = ("op", "servers")
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present."""
+    """The faults that are active now."""
 
     status: int = 0
     silent: bool = False
@@ -32,8 +34,8 @@
     lose_answers: int = 0
 
 
-class Stored(msgspec.Struct):
-    """A row; `deleted` rows stay for the feed."""
+class StoredRow(msgspec.Struct):
+    """A row. Deleted rows are kept, so that the feed reports the deletion."""
 
     table: str
     key: str
@@ -43,8 +45,11 @@
     part: str = ""
 
 
-class RowCall(msgspec.Struct):
-    """A row written by a test; without a value it is dropped."""
+class RowWriteRequest(msgspec.Struct):
+    """A row written by a test; a row without a value is deleted.
+
+    `raw` is stored as it is; `value` is stored as base64 of its JSON.
+    """
 
     table: str
     key: str
@@ -53,19 +58,19 @@
 
 
 class Tables(StandIn):
-    """All rows, in memory. Invariant: versions grow by one with each change."""
+    """The store, in memory. Invariant: each change increases the version by one."""
 
     def __init__(self) -> None:
         super().__init__()
         self._faults = Faults()
-        self._rows: dict[tuple[str, str], Stored] = {}
+        self._rows: dict[tuple[str, str], StoredRow] = {}
         self._version = 0
-        self._forgotten = 0
+        self._oldest_revision = 0
         self._changed = asyncio.Condition()
         self._counts: dict[str, int] = {}
 
     async def handle(self, exchange: Exchange, path: str) -> None:
-        """Serve the fleet."""
+        """Handle a read, a feed or a transaction."""
         self._counts[path] = self._counts.get(path, 0) + 1
         if self._faults.delay:
             await asyncio.sleep(self._faults.delay)
@@ -73,62 +78,62 @@
             await self._hang(exchange)
             return
         if self._faults.status:
-            answer(exchange, {}, self._faults.status)
+            respond_json(exchange, {}, self._faults.status)
             return
         if path == "/rows-get":
-            self._get(exchange)
+            self._handle_get(exchange)
         elif path == "/rows-feed":
-            await self._feed(exchange)
+            await self._handle_feed(exchange)
         elif path == "/rows-tx":
-            await self._transact(exchange)
+            await self._handle_transaction(exchange)
         else:
-            answer(exchange, {}, 404)
+            respond_json(exchange, {}, 404)
 
     async def handle_admin(self, exchange: Exchange, name: str) -> None:
-        """Serve a test."""
+        """Write a row, change the faults, or return request counts or a table's rows."""
         if name == "rows":
-            call = msgspec.json.decode(exchange.body, type=RowCall)
-            await self._write(call)
-            answer(exchange, {"ver": self._version})
+            request = msgspec.json.decode(exchange.body, type=RowWriteRequest)
+            await self._write_row(request)
+            respond_json(exchange, {"ver": self._version})
         elif name == "faults":
             changes = msgspec.json.decode(exchange.body)
             if changes.pop("forget", False):
-                self._forgotten = self._version
+                self._oldest_revision = self._version
             for field, value in changes.items():
                 setattr(self._faults, field, value)
             async with self._changed:
                 self._changed.notify_all()
-            answer(exchange, self._faults)
+            respond_json(exchange, self._faults)
         elif name == "counts":
-            answer(exchange, self._counts)
+            respond_json(exchange, self._counts)
         elif name == "table":
             wanted = read_query(exchange)["table"]
             rows = [row for row in self._rows.values() if row.table == wanted and not row.deleted]
-            answer(exchange, rows)
+            respond_json(exchange, rows)
         else:
-            answer(exchange, {}, 404)
+            respond_json(exchange, {}, 404)
 
     async def _hang(self, exchange: Exchange) -> None:
         try:
-            await asyncio.wait_for(exchange.closed.wait(), HANG_SECONDS)
+            await asyncio.wait_for(exchange.closed.wait(), HANG_TIMEOUT_S)
         except TimeoutError:
             pass
         exchange.abort()
 
-    async def _write(self, call: RowCall) -> None:
-        text = call.raw
-        if text is None and call.value is not None:
-            text = base64.b64encode(msgspec.json.encode(call.value)).decode("ascii")
-        await self._put(call.table, call.key, text)
+    async def _write_row(self, request: RowWriteRequest) -> None:
+        text = request.raw
+        if text is None and request.value is not None:
+            text = base64.b64encode(msgspec.json.encode(request.value)).decode("ascii")
+        await self._put(request.table, request.key, text)
 
     async def _put(self, table: str, key: str, text: str | None) -> None:
         self._version += 1
         deleted = text is None
-        self._rows[(table, key)] = Stored(table, key, text or "", self._version, deleted)
+        self._rows[(table, key)] = StoredRow(table, key, text or "", self._version, deleted)
         async with self._changed:
             self._changed.notify_all()
 
-    def _get(self, exchange: Exchange) -> None:
+    def _handle_get(self, exchange: Exchange) -> None:
         query = read_query(exchange)
         start = query.get("from", "")
         limit = int(query.get("limit", "500"))
@@ -140,62 +145,64 @@
             ),
             key=lambda row: row.key,
         )
-        self._answer_rows(exchange, rows[:limit], truncated=len(rows) > limit)
+        self._respond_rows(exchange, rows[:limit], truncated=len(rows) > limit)
 
-    async def _feed(self, exchange: Exchange) -> None:
+    async def _handle_feed(self, exchange: Exchange) -> None:
         query = read_query(exchange)
         after = int(query["afterRev"])
-        ends = time.monotonic() + int(query.get("waitMs", "0")) / 1000.0
+        deadline = time.monotonic() + int(query.get("waitMs", "0")) / 1000.0
         while True:
             if self._faults.silent:
                 await self._hang(exchange)
                 return
             if self._faults.status:
-                answer(exchange, {}, self._faults.status)
+                respond_json(exchange, {}, self._faults.status)
                 return
-            if after < self._forgotten:
-                answer(exchange, {}, 410)
+            if after < self._oldest_revision:
+                respond_json(exchange, {}, 410)
                 return
             rows = [
                 row
                 for row in self._rows.values()
                 if row.table == query["table"] and row.ver > after
             ]
-            left = ends - time.monotonic()
-            if rows or left <= 0:
-                self._answer_rows(exchange, sorted(rows, key=lambda row: row.ver))
+            remaining = deadline - time.monotonic()
+            if rows or remaining <= 0:
+                self._respond_rows(exchange, sorted(rows, key=lambda row: row.ver))
                 return
             async with self._changed:
                 try:
-                    await asyncio.wait_for(self._changed.wait(), left)
+                    await asyncio.wait_for(self._changed.wait(), remaining)
                 except TimeoutError:
                     pass
 
-    def _answer_rows(self, exchange: Exchange, rows: list[Stored], truncated: bool = False) -> None:
+    def _respond_rows(
+        self, exchange: Exchange, rows: list[StoredRow], truncated: bool = False
+    ) -> None:
         now = int(time.monotonic() * 1000)
         value = {"rows": rows, "ver": self._version, "nowMs": now, "truncated": truncated}
-        answer(exchange, value)
+        respond_json(exchange, value)
 
-    async def _transact(self, exchange: Exchange) -> None:
-        call = msgspec.json.decode(exchange.body)
-        entries = call.get("puts", []) + call.get("remove", [])
-        if any(entry["table"] in PROTECTED for entry in entries):
-            answer(exchange, {}, 403)
+    async def _handle_transaction(self, exchange: Exchange) -> None:
+        request = msgspec.json.decode(exchange.body)
+        entries = request.get("puts", []) + request.get("remove", [])
+        if any(entry["table"] in READ_ONLY_TABLES for entry in entries):
+            respond_json(exchange, {}, 403)
             return
-        current = [(self._find(row), row["ver"]) for row in call.get("expectedRev", [])]
-        if any(version != expected for version, expected in current):
-            answer(exchange, {"rows": [], "ver": self._version}, 412)
+        versions = [(self._get_version(row), row["ver"]) for row in request.get("expectedRev", [])]
+        if any(version != expected for version, expected in versions):
+            respond_json(exchange, {"rows": [], "ver": self._version}, 412)
             return
-        for entry in call.get("puts", []):
+        for entry in request.get("puts", []):
             await self._put(entry["table"], entry["key"], entry["value"])
-        for entry in call.get("remove", []):
+        for entry in request.get("remove", []):
             await self._put(entry["table"], entry["key"], None)
         if self._faults.lose_answers > 0:
             self._faults.lose_answers -= 1
             await self._hang(exchange)
             return
-        answer(exchange, {"ver": self._version, "nowMs": int(time.monotonic() * 1000)})
+        respond_json(exchange, {"ver": self._version, "nowMs": int(time.monotonic() * 1000)})
 
-    def _find(self, row: dict[str, Any]) -> int:
+    def _get_version(self, row: dict[str, Any]) -> int:
         found = self._rows.get((row["table"], row["key"]))
         return 0 if found is None or found.deleted else found.ver
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -1,9 +1,10 @@
-"""A stand-in of the users' workers, plain and model ones, down to the bytes of their faults.
+"""Stand-in for the users' workers (targets), with faults down to the bytes of their responses.
 
-A request whose path ends in `stream` is answered with events, any other with a body; both follow
-from the request's own body alone, so that a run resumed at another worker goes on with the same
-events. Faults are set by `POST /admin/faults` with any of the fields of `Faults`;
-`GET /admin/stats` tells what has run.
+It stands for both model workers and plain ones. A request whose path ends in `stream` gets a
+stream of events, any other a response body. Both depend only on the request, never on the worker,
+so that a stream resumed at another worker continues with the same events.
+`POST /admin/faults` sets any of the fields of `Faults`; `GET /admin/stats` returns what was
+received and executed. It uses h11 directly, because some faults are invalid HTTP.
 """
 
 from __future__ import annotations
@@ -19,46 +20,48 @@
 import msgspec
 
 EXIT_CRASHED = 70
-READ_SIZE = 65_536
+READ_SIZE_BYTES = 65_536
 
 
 class Faults(msgspec.Struct):
-    """What goes wrong at present, and how the worker works."""
+    """The faults that are active now, and the timing of responses (times in seconds)."""
 
     delay: float = 0.0
     events: int = 5
     event_gap: float = 0.02
-    # Answer with this status instead of 200; the request has run.
+    # Respond with this status instead of 200; the request has been executed.
     status: int = 0
-    # Say that the request was not run.
+    # Respond that the request was not executed.
     reject: bool = False
-    # Take requests and never answer.
+    # Accept requests and never respond.
     hang: bool = False
-    # End the connection after so many events, in the middle of the next; -1: never.
+    # Close the connection after so many events, in the middle of the next; -1: never.
     cut_after: int = -1
-    # Stop sending after so many events and keep the connection open; -1: never.
+    # Stop sending after so many events but keep the connection open; -1: never.
     stall_after: int = -1
-    # Send an answer to another request first, or a second answer after each.
+    # Send a response with another request's id before each response (`stray`) or after it
+    # (`extra`).
     stray: bool = False
     extra: bool = False
-    # Send bytes that are no answer, or an answer without a seal.
+    # Send bytes that are not HTTP (`garbage`), or a response without the `Response-Seal` header.
     garbage: bool = False
     unsealed: bool = False
-    # Break off a body of a given length, or send one that ends with its connection.
+    # Close the connection before the declared length of the body is sent (`truncate`), or send a
+    # body without a length, which ends when the connection closes (`unframed`).
     truncate: bool = False
     unframed: bool = False
-    # Answer before the body has been read, and read it later.
+    # Respond before the request body has been read, and read it afterwards.
     early: bool = False
-    # End the process when a body holds this text.
+    # Exit the process when a request body contains this text.
     crash_on: str = ""
-    # Close a connection when it brings a second request, without running that.
+    # Close a connection when a second request arrives on it, without executing that request.
     drop_idle: bool = False
-    # Begin each stream with its first event, also one that is to be resumed.
+    # Start each stream at its first event, even if the request asks to resume it.
     repeat_events: bool = False
 
 
-class Seen(msgspec.Struct):
-    """A request that reached this worker; `ran` tells whether it ran it."""
+class ReceivedRequest(msgspec.Struct):
+    """A request that this worker received; `ran` says whether it was executed."""
 
     id: str
     method: str
@@ -70,7 +73,7 @@
 
 
 class Arrival(msgspec.Struct):
-    """A line of the file of arrivals: a request reached a worker at a Unix time."""
+    """A line of the arrivals file: a worker received a request at Unix time `at`."""
 
     id: str
     worker: str
@@ -82,9 +85,9 @@
 
 
 class Stats(msgspec.Struct):
-    """Figures since the start."""
+    """Statistics since the process started; `runs` counts executions by attempt id."""
 
-    seen: list[Seen] = []
+    seen: list[ReceivedRequest] = []
     runs: dict[str, int] = {}
     running: int = 0
     most_running: int = 0
@@ -92,76 +95,79 @@
 
 
 def make_event(body: bytes, number: int) -> bytes:
-    """Make an event of the stream that a request's body asks for."""
-    word = hashlib.blake2b(body + str(number).encode(), digest_size=6).hexdigest()
-    return f"id: {number}\ndata: {word}\n\n".encode()
+    """Return event `number` of the stream that responds to a request with this body."""
+    data = hashlib.blake2b(body + str(number).encode(), digest_size=6).hexdigest()
+    return f"id: {number}\ndata: {data}\n\n".encode()
 
 
 def make_body(body: bytes, target: str) -> bytes:
-    """Make the whole answer to a request."""
+    """Return the whole response body to a request with this body and target."""
     return hashlib.blake2b(body + target.encode(), digest_size=32).hexdigest().encode()
 
 
 class Worker:
-    """One worker on one port."""
+    """A worker that listens on one port."""
 
     def __init__(self, name: str, arrivals: str = "") -> None:
         self._name = name
-        # Arrivals are written as they come, so that they outlive this process.
+        # Arrivals are written without a buffer, so that they survive a crash of this process.
         self._arrivals = open(arrivals, "ab", buffering=0) if arrivals else None  # noqa: SIM115
         self._faults = Faults()
-        self._seen: list[Seen] = []
+        self._received: list[ReceivedRequest] = []
         self._runs: Counter[str] = Counter()
         self._stats = Stats()
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to accept; returns the port in use."""
-        self._server = await asyncio.start_server(self._accept, host, port)
+        """Start to accept connections; port 0 picks a free one. Return the port in use."""
+        self._server = await asyncio.start_server(self._handle_connection, host, port)
         return int(self._server.sockets[0].getsockname()[1])
 
-    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         conn = h11.Connection(h11.SERVER)
-        first = True
+        is_first = True
         try:
-            while await self._serve_one(conn, reader, writer, first):
+            while await self._handle_next_request(conn, reader, writer, is_first):
                 conn.start_next_cycle()
-                first = False
+                is_first = False
         except (ConnectionError, h11.RemoteProtocolError):
             pass
         finally:
             writer.close()
 
-    async def _serve_one(
+    async def _handle_next_request(
         self,
         conn: h11.Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        first: bool,
+        is_first: bool,
     ) -> bool:
+        """Handle one request; return False if the connection must be closed afterwards."""
         head = await _read_event(conn, reader)
-        if not isinstance(head, h11.Request) or (self._faults.drop_idle and not first):
+        if not isinstance(head, h11.Request) or (self._faults.drop_idle and not is_first):
             return False
         headers = {k.decode(): v.decode("latin-1") for k, v in head.headers}
         target = head.target.decode()
         if self._faults.early and not target.startswith("/admin/"):
-            await self._answer_early(conn, headers, reader, writer)
+            await self._respond_early(conn, headers, reader, writer)
             return False
         body = await _read_body(conn, reader)
         if target.startswith("/admin/"):
-            return _finish(conn, writer, 200, [], self._serve_admin(target, body))
-        return await self._serve_request(conn, head, headers, body, reader, writer)
+            return _send_response(conn, writer, 200, [], self._handle_admin(target, body))
+        return await self._handle_request(conn, head, headers, body, reader, writer)
 
-    def _serve_admin(self, target: str, body: bytes) -> bytes:
+    def _handle_admin(self, target: str, body: bytes) -> bytes:
         if target == "/admin/faults":
             for field, value in msgspec.json.decode(body).items():
                 setattr(self._faults, field, value)
             return b"{}"
-        self._stats.seen = self._seen
+        self._stats.seen = self._received
         self._stats.runs = dict(self._runs)
         return msgspec.json.encode(self._stats)
 
-    async def _serve_request(
+    async def _handle_request(
         self,
         conn: h11.Connection,
         head: h11.Request,
@@ -171,41 +177,49 @@
         writer: asyncio.StreamWriter,
     ) -> bool:
         faults = self._faults
-        request = headers.get("attempt-id", "")
+        attempt_id = headers.get("attempt-id", "")
         expected = headers.get("expect-instance", self._name)
-        runs = expected == self._name and not faults.reject
+        will_run = expected == self._name and not faults.reject
         target = head.target.decode()
         method = head.method.decode()
-        self._seen.append(Seen(request, method, target, headers, body.decode("latin-1"), runs))
+        self._received.append(
+            ReceivedRequest(attempt_id, method, target, headers, body.decode("latin-1"), will_run)
+        )
         if self._arrivals is not None:
             account = headers.get("tenant", "")
-            line = Arrival(request, self._name, time.time(), runs, method, target, account)
-            self._arrivals.write(msgspec.json.encode(line) + b"\n")
-        echo = [("Attempt-Id", request)]
+            arrival = Arrival(
+                attempt_id, self._name, time.time(), will_run, method, target, account
+            )
+            self._arrivals.write(msgspec.json.encode(arrival) + b"\n")
+        id_headers = [("Attempt-Id", attempt_id)]
         if expected != self._name:
-            return _finish(conn, writer, 421, [*echo, ("Instance-Id", self._name)], b"")
+            return _send_response(
+                conn, writer, 421, [*id_headers, ("Instance-Id", self._name)], b""
+            )
         if faults.reject:
-            return _finish(conn, writer, 503, [*echo, ("Not-Executed", "1")], b"")
-        self._runs[request] += 1
+            return _send_response(conn, writer, 503, [*id_headers, ("Not-Executed", "1")], b"")
+        self._runs[attempt_id] += 1
         if faults.crash_on and faults.crash_on.encode() in body:
             os._exit(EXIT_CRASHED)
         self._stats.running += 1
         self._stats.most_running = max(self._stats.most_running, self._stats.running)
-        work = asyncio.ensure_future(self._answer(conn, headers, target, body, writer))
-        watch = asyncio.ensure_future(reader.read(1))
+        response_task = asyncio.ensure_future(self._respond(conn, headers, target, body, writer))
+        disconnect_task = asyncio.ensure_future(reader.read(1))
         try:
-            await asyncio.wait((work, watch), return_when=asyncio.FIRST_COMPLETED)
-            if not work.done():
+            await asyncio.wait(
+                (response_task, disconnect_task), return_when=asyncio.FIRST_COMPLETED
+            )
+            if not response_task.done():
                 self._stats.cancelled += 1
                 return False
-            return work.result() and not watch.done()
+            return response_task.result() and not disconnect_task.done()
         finally:
             self._stats.running -= 1
-            work.cancel()
-            watch.cancel()
-            await asyncio.gather(work, watch, return_exceptions=True)
+            response_task.cancel()
+            disconnect_task.cancel()
+            await asyncio.gather(response_task, disconnect_task, return_exceptions=True)
 
-    async def _answer(
+    async def _respond(
         self,
         conn: h11.Connection,
         headers: dict[str, str],
@@ -217,64 +231,74 @@
         if faults.hang:
             await asyncio.Event().wait()
         await asyncio.sleep(faults.delay)
-        request = headers.get("attempt-id", "")
+        attempt_id = headers.get("attempt-id", "")
         load = f"{self._stats.running},0,6"
-        sent = [("Attempt-Id", request), ("Response-Seal", f"seal-{self._name}")]
-        sent.append(("Server-Load", load))
+        response_headers = [("Attempt-Id", attempt_id), ("Response-Seal", f"seal-{self._name}")]
+        response_headers.append(("Server-Load", load))
         if faults.unsealed:
-            del sent[1]
+            del response_headers[1]
         if faults.garbage:
             writer.write(b"\x00\x01 these bytes are no answer\r\n\r\n")
             return False
         if faults.stray:
-            writer.write(_make_stray())
+            writer.write(_make_stray_response())
         if faults.status:
-            return _finish(conn, writer, faults.status, sent, b"failed")
+            return _send_response(conn, writer, faults.status, response_headers, b"failed")
         if target.partition("?")[0].endswith("stream"):
-            return await self._stream(conn, sent, headers, body, writer)
-        return self._answer_whole(conn, sent, make_body(body, target), writer)
+            return await self._send_stream(conn, response_headers, headers, body, writer)
+        return self._send_complete_response(conn, response_headers, make_body(body, target), writer)
 
-    def _answer_whole(
+    def _send_complete_response(
         self,
         conn: h11.Connection,
-        sent: list[tuple[str, str]],
+        response_headers: list[tuple[str, str]],
         text: bytes,
         writer: asyncio.StreamWriter,
     ) -> bool:
         faults = self._faults
         if faults.unframed:
-            writer.write(b"HTTP/1.1 200 OK\r\n" + _join(sent) + b"Connection: close\r\n\r\n" + text)
+            writer.write(
+                b"HTTP/1.1 200 OK\r\n"
+                + _encode_headers(response_headers)
+                + b"Connection: close\r\n\r\n"
+                + text
+            )
             return False
         if faults.truncate:
-            length = ("Content-Length", str(len(text)))
-            writer.write(b"HTTP/1.1 200 OK\r\n" + _join([*sent, length]) + b"\r\n" + text[:10])
+            content_length = ("Content-Length", str(len(text)))
+            writer.write(
+                b"HTTP/1.1 200 OK\r\n"
+                + _encode_headers([*response_headers, content_length])
+                + b"\r\n"
+                + text[:10]
+            )
             return False
-        kept = _finish(conn, writer, 200, sent, text)
+        can_reuse = _send_response(conn, writer, 200, response_headers, text)
         if faults.extra:
-            writer.write(_make_stray())
-        return kept
+            writer.write(_make_stray_response())
+        return can_reuse
 
-    async def _stream(
+    async def _send_stream(
         self,
         conn: h11.Connection,
-        sent: list[tuple[str, str]],
+        response_headers: list[tuple[str, str]],
         headers: dict[str, str],
         body: bytes,
         writer: asyncio.StreamWriter,
     ) -> bool:
         faults = self._faults
-        resumed = 0 if faults.repeat_events else int(headers.get("last-event-id", "0"))
-        first = resumed + 1
-        content = ("Content-Type", "text/event-stream")
-        writer.write(conn.send(_make_head(200, [*sent, content])) or b"")
-        for number in range(first, faults.events + 1):
+        last_event_id = 0 if faults.repeat_events else int(headers.get("last-event-id", "0"))
+        first_number = last_event_id + 1
+        content_type = ("Content-Type", "text/event-stream")
+        writer.write(conn.send(_make_response_head(200, [*response_headers, content_type])) or b"")
+        for number in range(first_number, faults.events + 1):
             event = make_event(body, number)
-            done = number - first
-            if done == faults.cut_after:
+            events_sent = number - first_number
+            if events_sent == faults.cut_after:
                 writer.write(conn.send(h11.Data(data=event[:8])) or b"")
                 await writer.drain()
                 return False
-            if done == faults.stall_after:
+            if events_sent == faults.stall_after:
                 await asyncio.Event().wait()
             writer.write(conn.send(h11.Data(data=event)) or b"")
             await writer.drain()
@@ -282,50 +306,54 @@
         writer.write(conn.send(h11.EndOfMessage()) or b"")
         return True
 
-    async def _answer_early(
+    async def _respond_early(
         self,
         conn: h11.Connection,
         headers: dict[str, str],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Answer from the head alone, and read what is left of the body afterwards."""
-        sent = [("Attempt-Id", headers.get("attempt-id", "")), ("Not-Executed", "1")]
-        writer.write(conn.send(_make_head(503, [*sent, ("Content-Length", "0")])) or b"")
+        """Respond after the request head, then read the rest of the body."""
+        response_headers = [("Attempt-Id", headers.get("attempt-id", "")), ("Not-Executed", "1")]
+        writer.write(
+            conn.send(_make_response_head(503, [*response_headers, ("Content-Length", "0")])) or b""
+        )
         writer.write(conn.send(h11.EndOfMessage()) or b"")
         await writer.drain()
         body = await _read_body(conn, reader)
-        seen = Seen(headers.get("attempt-id", ""), "", "", headers, body.decode("latin-1"), False)
-        self._seen.append(seen)
+        received = ReceivedRequest(
+            headers.get("attempt-id", ""), "", "", headers, body.decode("latin-1"), False
+        )
+        self._received.append(received)
 
 
-def _make_head(status: int, headers: list[tuple[str, str]]) -> h11.Response:
+def _make_response_head(status: int, headers: list[tuple[str, str]]) -> h11.Response:
     raw = [(k.encode(), v.encode("latin-1")) for k, v in headers]
     return h11.Response(status_code=status, headers=raw)
 
 
-def _join(headers: list[tuple[str, str]]) -> bytes:
+def _encode_headers(headers: list[tuple[str, str]]) -> bytes:
     return b"".join(f"{name}: {value}\r\n".encode("latin-1") for name, value in headers)
 
 
-def _make_stray() -> bytes:
+def _make_stray_response() -> bytes:
     text = b"an answer to somebody else"
     headers = [
         ("Attempt-Id", "another-request"),
         ("Response-Seal", "seal"),
         ("Content-Length", str(len(text))),
     ]
-    return b"HTTP/1.1 200 OK\r\n" + _join(headers) + b"\r\n" + text
+    return b"HTTP/1.1 200 OK\r\n" + _encode_headers(headers) + b"\r\n" + text
 
 
-def _finish(
+def _send_response(
     conn: h11.Connection,
     writer: asyncio.StreamWriter,
     status: int,
     headers: list[tuple[str, str]],
     body: bytes,
 ) -> bool:
-    head = _make_head(status, [*headers, ("Content-Length", str(len(body)))])
+    head = _make_response_head(status, [*headers, ("Content-Length", str(len(body)))])
     for event in (head, h11.Data(data=body), h11.EndOfMessage()):
         writer.write(conn.send(event) or b"")
     return True
@@ -336,7 +364,7 @@
         event = conn.next_event()
         if event is not h11.NEED_DATA:
             return event
-        conn.receive_data(await reader.read(READ_SIZE))
+        conn.receive_data(await reader.read(READ_SIZE_BYTES))
 
 
 async def _read_body(conn: h11.Connection, reader: asyncio.StreamReader) -> bytes:
@@ -352,11 +380,11 @@
 
 
 def add_options(parser: argparse.ArgumentParser) -> None:
-    """Add the options of a worker."""
-    parser.add_argument("--name", required=True, help="the id that requests have to expect")
-    parser.add_argument("--arrivals", default="", help="a file to which arrivals are appended")
+    """Add the command-line options of a worker."""
+    parser.add_argument("--name", required=True, help="instance id that requests must expect")
+    parser.add_argument("--arrivals", default="", help="file to append arrivals to")
 
 
 def make_worker(options: argparse.Namespace) -> Worker:
-    """Make a worker from its options."""
+    """Make a worker from its command-line options."""
     return Worker(options.name, options.arrivals)
