--- a/tests/tools/__init__.py
+++ b/tests/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what builds and checks the product."""
+"""Tests of the tools that build and check the product."""
--- a/tests/tools/test_binary.py
+++ b/tests/tools/test_binary.py
@@ -1,4 +1,4 @@
-"""The one file: built once, run as an operator would run it, away from this checkout."""
+"""Tests of the single-file binary, built once and run outside this checkout, as operators do."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from loadtool._processes import pick_port
 from tools import binary
 
-START_TIMEOUT = 30.0
+START_TIMEOUT_S = 30.0
 SECRET = "a secret of sixteen bytes"
 
 
 @pytest.fixture(scope="session")
 def program(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """Build the file."""
+    """Build the binary and return its path."""
     output = tmp_path_factory.mktemp("binary") / "rhubarbbend"
     binary.build_binary(output)
     return output
 
 
 def _make_environment(folder: Path) -> dict[str, str]:
-    """Nothing of this checkout or its environment: PATH finds the bare Python 3.11."""
+    """Return an environment without this checkout; PATH finds only the plain Python 3.11."""
     base = Path(sys.base_prefix) / "bin"
     return {
         "PATH": f"{base}:/usr/bin:/bin",
@@ -50,8 +50,8 @@
 
 
 def _list_children(pid: int) -> list[str]:
-    """List the ids of the processes whose parent is `pid`, and of its threads."""
-    found = []
+    """Return the ids of the processes that process `pid` or one of its threads started."""
+    process_ids = []
     for entry in Path("/proc").iterdir():
         if not entry.name.isdigit():
             continue
@@ -60,23 +60,23 @@
         except OSError:
             continue
         if int(fields[1]) == pid:
-            found.append(entry.name)
-    return found
+            process_ids.append(entry.name)
+    return process_ids
 
 
-def _ask(port: int, path: str) -> int:
+def _get_status(port: int, path: str) -> int:
     try:
-        with urllib.request.urlopen(f"http://127.0.0.1:{port}{path}", timeout=1.0) as answer:
-            return int(answer.status)
+        with urllib.request.urlopen(f"http://127.0.0.1:{port}{path}", timeout=1.0) as response:
+            return int(response.status)
     except OSError:
         return 0
 
 
-def test_serves_as_one_process(program: Path, tmp_path: Path) -> None:
-    """The file serves in the process that was started: a signal to it reaches the instance.
+def test_serves_in_a_single_process(program: Path, tmp_path: Path) -> None:
+    """The binary serves in the process that was started, so that signals reach the instance.
 
-    A bootstrapper that stayed as a parent would take the operators' TERM for itself, and the
-    requests in flight would be cut.
+    If a bootstrap process stayed as the parent, it would receive the operators' SIGTERM instead
+    of the instance, and in-flight requests would be cut.
     """
     port = pick_port()
     settings = _write_settings(tmp_path, port)
@@ -88,8 +88,8 @@
         ) as process,
     ):
         try:
-            deadline = time.monotonic() + START_TIMEOUT
-            while _ask(port, "/healthz") != 200 and process.poll() is None:
+            deadline = time.monotonic() + START_TIMEOUT_S
+            while _get_status(port, "/healthz") != 200 and process.poll() is None:
                 assert time.monotonic() < deadline, (tmp_path / "log").read_text()
                 time.sleep(0.05)
             assert process.poll() is None, (tmp_path / "log").read_text()
@@ -103,12 +103,12 @@
     assert written == {"log", "settings.toml", "unpacked"}
 
 
-def test_checks_settings(program: Path, tmp_path: Path) -> None:
-    good = _write_settings(tmp_path, 8080)
-    bad = tmp_path / "bad.toml"
-    bad.write_text("[instance]\nid = 7\n", "utf-8")
-    for path, status in ((good, 0), (bad, 2)):
-        done = subprocess.run(
+def test_check_settings_exit_status(program: Path, tmp_path: Path) -> None:
+    valid = _write_settings(tmp_path, 8080)
+    invalid = tmp_path / "bad.toml"
+    invalid.write_text("[instance]\nid = 7\n", "utf-8")
+    for path, status in ((valid, 0), (invalid, 2)):
+        process = subprocess.run(
             [str(program), "check-settings", str(path)],
             cwd=tmp_path,
             env=_make_environment(tmp_path),
@@ -117,22 +117,22 @@
             timeout=30,
             check=False,
         )
-        assert done.returncode == status, done.stderr
+        assert process.returncode == status, process.stderr
 
 
-def test_refuses_a_library_that_is_not_pinned() -> None:
-    """A library that another one needs would be missing from the file only when it runs."""
+def test_unpinned_dependency_is_an_error() -> None:
+    """A dependency that is not pinned would be missing from the binary, seen only at run time."""
     with pytest.raises(binary.BuildError, match="needs"):
-        binary.check_closed({"thriftpy2"})
+        binary.check_all_dependencies_pinned({"thriftpy2"})
 
 
-def test_refuses_another_version_than_pinned(tmp_path: Path) -> None:
+def test_other_version_than_pinned_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(binary.BuildError, match="expected 0.0.1"):
         binary.copy_library("h11", "0.0.1", tmp_path)
 
 
-def test_holds_the_schema_files(tmp_path: Path) -> None:
-    binary.collect_site(tmp_path)
+def test_contains_schema_files(tmp_path: Path) -> None:
+    binary.copy_site_packages(tmp_path)
     schema = tmp_path / "rhubarbbend" / "schema"
     assert {path.suffix for path in schema.iterdir()} >= {".thrift"}
     assert os.path.exists(tmp_path / "rhubarbbend" / "py.typed")
--- a/tests/tools/test_copies.py
+++ b/tests/tools/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of a test: those that fail are found and keep their output."""
+"""Test of the tool that runs many copies of one test."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tools.copies import main
 
 
-def test_a_copy_that_fails_keeps_its_output(tmp_path: Path) -> None:
-    # The test fails in the first folder that it is run in, as one that fails now and then does.
+def test_output_of_failed_copy_is_kept(tmp_path: Path) -> None:
+    # A flaky test: it fails in the first copy and passes in all later ones.
     test = tmp_path / "test_now_and_then.py"
     test.write_text(
         "from pathlib import Path\n"
@@ -18,8 +18,18 @@
         "    mark.touch()\n"
         "    assert seen, 'the first copy'\n"
     )
-    keep = tmp_path / "keep"
-    words = [str(test), "--copies", "3", "--jobs", "1", "--busy", "1", "--keep", str(keep)]
-    assert main(words) == 1
-    assert [folder.name for folder in keep.iterdir()] == ["copy-0"]
-    assert "the first copy" in (keep / "copy-0" / "output.txt").read_text()
+    output_folder = tmp_path / "keep"
+    arguments = [
+        str(test),
+        "--copies",
+        "3",
+        "--jobs",
+        "1",
+        "--busy",
+        "1",
+        "--keep",
+        str(output_folder),
+    ]
+    assert main(arguments) == 1
+    assert [folder.name for folder in output_folder.iterdir()] == ["copy-0"]
+    assert "the first copy" in (output_folder / "copy-0" / "output.txt").read_text()
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""What builds and checks the product; not shipped."""
+"""Tools that build and check the product. They are not shipped with it."""
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: at most three tests that fail for a known fault and don't fail CI.
+"""Pytest plugin for KNOWN-RED.txt: at most three tests that may fail without failing CI.
 
-A line is `test id | seed | cause | issue`. Listed tests run like all others; their outcome is
-printed at the end. A test that is not listed fails CI as ever, and so does a file that breaks
-these rules or names a test that a whole run does not know.
+Each line of the file is `test id | seed | cause | issue`. Listed tests run like all others, and
+their outcomes are printed at the end. A failure of any other test still fails CI, and so does a
+file that breaks these rules or lists a test that a run of the whole suite did not execute.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 import attrs
 import pytest
 
-FILE: Final = "KNOWN-RED.txt"
+FILE_NAME: Final = "KNOWN-RED.txt"
 MAX_LINES: Final = 3
 SEPARATOR: Final = "|"
-FIELDS: Final = 4
+FIELD_COUNT: Final = 4
 
 
 class KnownRedInvalid(Exception):
-    """A file that breaks the rules."""
+    """KNOWN-RED.txt breaks its rules: format, number of entries or a duplicate entry."""
 
 
 @attrs.define(slots=True, frozen=True)
 class KnownRed:
-    """One listed test."""
+    """An entry of the file."""
 
     test: str
     seed: str
@@ -34,30 +34,32 @@
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Parse the file; raises `KnownRedInvalid`."""
-    found: list[KnownRed] = []
+    """Parse the text of the file; raise `KnownRedInvalid` if it breaks the rules."""
+    entries: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         fields = [field.strip() for field in line.split(SEPARATOR)]
-        if len(fields) != FIELDS or not all(fields):
-            raise KnownRedInvalid(f"{FILE}:{number}: expected `test id | seed | cause | issue`")
-        found.append(KnownRed(*fields))
-    if len(found) > MAX_LINES:
-        raise KnownRedInvalid(f"{FILE}: {len(found)} tests listed, {MAX_LINES} are allowed")
-    if len({entry.test for entry in found}) != len(found):
-        raise KnownRedInvalid(f"{FILE}: a test is listed twice")
-    return found
+        if len(fields) != FIELD_COUNT or not all(fields):
+            raise KnownRedInvalid(
+                f"{FILE_NAME}:{number}: expected `test id | seed | cause | issue`"
+            )
+        entries.append(KnownRed(*fields))
+    if len(entries) > MAX_LINES:
+        raise KnownRedInvalid(f"{FILE_NAME}: {len(entries)} tests listed, {MAX_LINES} are allowed")
+    if len({entry.test for entry in entries}) != len(entries):
+        raise KnownRedInvalid(f"{FILE_NAME}: a test is listed twice")
+    return entries
 
 
 def read_known_red(root: Path) -> list[KnownRed]:
-    """Read the file of a checkout; a missing one lists nothing."""
-    path = root / FILE
+    """Return the entries of the file in a checkout; a missing file has none."""
+    path = root / FILE_NAME
     return parse_known_red(path.read_text("utf-8")) if path.exists() else []
 
 
 class KnownRedPlugin:
-    """Marks the listed tests, then prints what became of them."""
+    """Allows the listed tests to fail, and prints their outcomes at the end of the run."""
 
     def __init__(self, listed: list[KnownRed], whole_run: bool) -> None:
         self._listed = {entry.test: entry for entry in listed}
@@ -65,7 +67,7 @@
         self._outcomes: dict[str, str] = {}
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Let a listed test fail without failing the run."""
+        """Mark the listed tests as xfail, so that their failures do not fail the run."""
         for item in items:
             entry = self._listed.get(item.nodeid)
             if entry is not None:
@@ -73,7 +75,7 @@
                 item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Note the outcome of a listed test."""
+        """Record the outcome of a listed test."""
         if report.nodeid not in self._listed:
             return
         if hasattr(report, "wasxfail"):
@@ -81,17 +83,17 @@
 
     @pytest.hookimpl(trylast=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fail a whole run that did not run a listed test."""
+        """Fail a run of the whole suite in which a listed test did not run."""
         is_worker = hasattr(session.config, "workerinput")
         missing = self._listed.keys() - self._outcomes.keys()
         if missing and self._whole_run and not is_worker:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print each listed test."""
+        """Print the outcome of each listed test."""
         if not self._listed:
             return
-        terminalreporter.section(FILE)
+        terminalreporter.section(FILE_NAME)
         for entry in self._listed.values():
             outcome = self._outcomes.get(entry.test, "not run")
             hint = "; take it off the list" if outcome == "PASSED" else ""
@@ -101,12 +103,17 @@
 
 
 def register(config: pytest.Config) -> None:
-    """Make a run honour the file at its root."""
+    """Register the plugin with the entries of the file in pytest's root folder.
+
+    Raise `pytest.UsageError` if the file breaks its rules.
+    """
     try:
         listed = read_known_red(config.rootpath)
     except KnownRedInvalid as error:
         raise pytest.UsageError(str(error)) from error
     option = config.option
-    chosen = bool(option.keyword or option.markexpr or getattr(option, "lf", False))
-    from_settings = config.args_source is pytest.Config.ArgsSource.TESTPATHS
-    config.pluginmanager.register(KnownRedPlugin(listed, from_settings and not chosen))
+    has_selection = bool(option.keyword or option.markexpr or getattr(option, "lf", False))
+    is_default_selection = config.args_source is pytest.Config.ArgsSource.TESTPATHS
+    config.pluginmanager.register(
+        KnownRedPlugin(listed, is_default_selection and not has_selection)
+    )
