--- a/rhubarbbend/codes.py
+++ b/rhubarbbend/codes.py
@@ -161,10 +161,10 @@
 IDLE_CONNECTIONS_DEAD: Final = _declare_counter(
     "idle_connections_dead", "requests that met a connection which had died while it was idle"
 )
-ZONES_DOUBTED: Final = _declare_counter(
+ZONES_SUSPECTED: Final = _declare_counter(
     "zones_doubted", "times that all targets of a zone were doubted, since one was lost"
 )
-SILENT_ASKED: Final = _declare_counter(
+SILENT_TARGETS_PROBED: Final = _declare_counter(
     "silent_asked", "connections asked of targets from which nothing was heard"
 )
 RESUMES: Final = _declare_counter("resumes", "cut streams resumed at their offset")
@@ -182,10 +182,10 @@
 ROUTED_LAST: Final = _declare_counter(
     "routed.last_resort", "requests sent above the load bound: every target was there"
 )
-LOAD_WORDS: Final = _declare_counter(
+LOAD_REPORTS_IN_ANSWERS: Final = _declare_counter(
     "loads.words", "answers in which a target told how many requests it holds"
 )
-LOAD_UNSEEN: Final = _declare_counter(
+LOAD_UNDERESTIMATED: Final = _declare_counter(
     "loads.unseen", "requests that targets then held beyond what was estimated, added up"
 )
 TICKETS_BAD: Final = _declare_counter("tickets_bad", "tickets that were forged or unreadable")
@@ -231,7 +231,7 @@
 )
 PAUSES: Final = _declare_counter("pauses", "pauses of this process noticed on waking")
 PLATFORM_ERRORS: Final = _declare_counter("platform.errors", "platform calls that failed")
-STORE_READS_BEGUN: Final = _declare_counter(
+DIRECT_STORE_READS_STARTED: Final = _declare_counter(
     "platform.reads_begun", "times that the store was read in place of the zone's reader"
 )
 CONFIG_APPLIED: Final = _declare_counter("config.applied", "configuration changes applied")
--- a/rhubarbbend/core/_context.py
+++ b/rhubarbbend/core/_context.py
@@ -99,17 +99,17 @@
         self.fleet = Fleet(identity.instance, identity.zone, options.peer_silence)
         self.out: list[actions.Action] = []
         self.local: deque[Message] = deque()
-        self.wall_offset = 0.0
+        self.unix_time_offset_s = 0.0
         self.stopping = False
         self.config_ready = False
         # Whether the instances and targets are known, from the platform's list or from a peer.
-        self.members_known = False
+        self.are_members_known = False
         # Local time of the last failed and the last successful call to the table service. Requests
         # that need the table fail fast while the last call failed recently.
-        self.platform_failed = -1.0
-        self.platform_worked = 0.0
+        self.last_platform_failure = -1.0
+        self.last_platform_success = 0.0
         # Set by the member component; attaches the newest loads to outgoing slot messages.
-        self.add_loads: Callable[[InstanceView, SlotMessage], None] = lambda view, message: None
+        self.attach_loads: Callable[[InstanceView, SlotMessage], None] = lambda view, message: None
         self._timers: list[tuple[float, int, Callback]] = []
         self._sequence = itertools.count()
 
@@ -137,7 +137,7 @@
         view = self.fleet.instances.get(peer)
         if view is not None:
             if isinstance(message, SlotMessage):
-                self.add_loads(view, message)
+                self.attach_loads(view, message)
             self.out.append(actions.SendPeer(peer, view.host, view.peer_port, message))
 
     def set_timer(self, at: float, callback: Callback) -> None:
@@ -166,38 +166,41 @@
             return heapq.heappop(self._timers)[2]
         return None
 
-    def read_wall(self, now: float) -> float:
+    def to_unix_time(self, now: float) -> float:
         """Convert a local time to Unix time, for times that instances compare with each other."""
-        return now + self.wall_offset
+        return now + self.unix_time_offset_s
 
-    def takes_work(self, view: TargetView) -> bool:
+    def accepts_new_work(self, view: TargetView) -> bool:
         """Return whether operators and the platform's list allow new work on a target."""
         return not view.leaving and self.configuration.is_target_in_service(view.id, view.zone)
 
     @property
-    def platform_down(self) -> bool:
+    def is_table_service_down(self) -> bool:
         """Whether the most recent call to the table service failed."""
-        return self.platform_failed > self.platform_worked
+        return self.last_platform_failure > self.last_platform_success
 
-    def is_out_of_touch(self, now: float) -> bool:
+    def may_have_missed_changes(self, now: float) -> bool:
         """Return whether this instance may have missed changes made by operators.
 
         This is the case when the table service is down and its last successful call is more than
         `peer_silence` ago, the timeout that also applies to peers.
         """
-        return self.platform_down and now - self.platform_worked > self.options.peer_silence
+        return (
+            self.is_table_service_down
+            and now - self.last_platform_success > self.options.peer_silence
+        )
 
 
 EventHandler = Callable[..., None]
 
 
-class Duty(Protocol):
+class Component(Protocol):
     """A component of the core: its own state, and handlers of the events that it subscribes to."""
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return the handlers by event type; each takes the event and the current local time."""
         ...
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return the handlers by message type; each takes sender, message and current time."""
         ...
--- a/rhubarbbend/core/_core.py
+++ b/rhubarbbend/core/_core.py
@@ -7,17 +7,17 @@
 from __future__ import annotations
 
 from rhubarbbend.core import actions, events
-from rhubarbbend.core._context import Context, CoreOptions, Duty, EventHandler, Identity
-from rhubarbbend.core._stop import StopDuty
-from rhubarbbend.core._suspects import SuspectDuty
-from rhubarbbend.core.accepted._follower import FollowerDuty
-from rhubarbbend.core.accepted._proposals import ProposalDuty
-from rhubarbbend.core.accepted._snapshots import SnapshotDuty
-from rhubarbbend.core.claims._claims import ClaimDuty
-from rhubarbbend.core.members._members import MemberDuty
+from rhubarbbend.core._context import Component, Context, CoreOptions, EventHandler, Identity
+from rhubarbbend.core._stop import ShutdownCoordinator
+from rhubarbbend.core._suspects import CrashSuspectTracker
+from rhubarbbend.core.accepted._follower import ConfigurationFollower
+from rhubarbbend.core.accepted._proposals import ProposalCoordinator
+from rhubarbbend.core.accepted._snapshots import SnapshotWriter
+from rhubarbbend.core.claims._claim_coordinator import ClaimCoordinator
+from rhubarbbend.core.members._members import MembershipCoordinator
 from rhubarbbend.core.messages import Message, SlotMessage
-from rhubarbbend.core.owners._owner import OwnerDuty
-from rhubarbbend.core.requests._entry import EntryDuty
+from rhubarbbend.core.owners._owner import OwnershipCoordinator
+from rhubarbbend.core.requests._coordinator import RequestCoordinator
 
 
 class Core:
@@ -28,16 +28,18 @@
 
     def __init__(self, identity: Identity, options: CoreOptions, seed: int) -> None:
         self.context = Context(identity, options, seed)
-        self.suspects = SuspectDuty(self.context)
-        self.claims = ClaimDuty(self.context)
-        self.owner = OwnerDuty(self.context)
-        self.entry = EntryDuty(self.context, self.claims, self.suspects)
-        self.members = MemberDuty(self.context, self.owner, self.entry, self.suspects)
-        self.snapshots = SnapshotDuty(self.context)
-        self.follower = FollowerDuty(self.context, self.snapshots)
+        self.suspects = CrashSuspectTracker(self.context)
+        self.claims = ClaimCoordinator(self.context)
+        self.owner = OwnershipCoordinator(self.context)
+        self.requests = RequestCoordinator(self.context, self.claims, self.suspects)
+        self.members = MembershipCoordinator(self.context, self.owner, self.requests, self.suspects)
+        self.snapshots = SnapshotWriter(self.context)
+        self.follower = ConfigurationFollower(self.context, self.snapshots)
         self.members.set_version_listener(self.follower)
-        self.proposals = ProposalDuty(self.context, self.follower)
-        self.stop = StopDuty(self.context, self.entry, self.owner, self.claims, self.members)
+        self.proposals = ProposalCoordinator(self.context, self.follower)
+        self.stop = ShutdownCoordinator(
+            self.context, self.requests, self.owner, self.claims, self.members
+        )
         self._events: dict[type[events.Event], list[EventHandler]] = {}
         self._messages: dict[type[Message], EventHandler] = {}
         # Handlers run in order of registration. The member component comes first, so that the
@@ -49,7 +51,7 @@
         self._register(self.suspects)
         self._register(self.owner)
         self._register(self.claims)
-        self._register(self.entry)
+        self._register(self.requests)
         self._register(self.stop)
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
@@ -58,7 +60,7 @@
         context.out = []
         self._run_timers(now)
         if isinstance(event, events.PeerSaid):
-            self.members.hear(event.sender)
+            self.members.record_message_from(event.sender)
             self._handle_message(event.sender, event.message, now)
         else:
             for handler in self._events.get(type(event), ()):
@@ -84,15 +86,15 @@
 
     def _handle_message(self, sender: str, message: Message, now: float) -> None:
         if isinstance(message, SlotMessage):
-            self.members.loads.take_loads(sender, message, now)
+            self.members.load_exchange.record_loads(sender, message, now)
         handler = self._messages.get(type(message))
         if handler is not None:
             handler(sender, message, now)
 
-    def _register(self, duty: Duty) -> None:
-        for event_type, handler in duty.list_events().items():
+    def _register(self, component: Component) -> None:
+        for event_type, handler in component.get_event_handlers().items():
             self._events.setdefault(event_type, []).append(handler)
-        for message_type, handler in duty.list_messages().items():
+        for message_type, handler in component.get_message_handlers().items():
             if message_type in self._messages:
                 raise ValueError(f"{message_type.__name__} has two handlers")
             self._messages[message_type] = handler
--- a/rhubarbbend/core/_fleet.py
+++ b/rhubarbbend/core/_fleet.py
@@ -19,7 +19,7 @@
 STATE_LEAVING: Final = "leaving"
 
 
-def rank(key: str, candidate: str) -> int:
+def compute_rendezvous_weight(key: str, candidate: str) -> int:
     """Return the rendezvous hashing weight of a candidate for a key; the highest weight wins."""
     return xxhash.xxh64_intdigest(f"{key}|{candidate}".encode())
 
@@ -36,22 +36,22 @@
     # Whether the instance is leaving, according to the platform's list and according to its own
     # messages; one of the two is sufficient.
     listed_leaving: bool = False
-    said_leaving: bool = False
+    reported_leaving: bool = False
     listed: bool = False
     first_seen: float = 0.0
-    last_heard: float = -1.0
+    last_message_at: float = -1.0
     # Local time since which messages to an instance of another zone have failed; negative while
     # they are delivered.
-    lost_since: float = -1.0
+    unreachable_since: float = -1.0
     config_version: int = 0
     # Local time at which `config_version` was last received, in a heartbeat or in a reply to a
     # query.
-    version_heard: float = -1.0
+    version_received_at: float = -1.0
 
     @property
     def leaving(self) -> bool:
         """Whether the instance is leaving the fleet, so that others must take over its targets."""
-        return self.listed_leaving or self.said_leaving
+        return self.listed_leaving or self.reported_leaving
 
 
 @attrs.define(slots=True)
@@ -102,7 +102,7 @@
     """All views of instances and targets, with target ownership and load sums derived from them.
 
     Invariants: `_owners` caches owners computed from the current live set; `_sums` is the sum over
-    `_summed_targets`, which `note_target` updates whenever the view of a target changes.
+    `_summed_targets`, which `update_load_sums` updates whenever the view of a target changes.
     """
 
     def __init__(self, own_id: str, own_zone: str, silence_timeout_s: float) -> None:
@@ -130,16 +130,19 @@
         if view.id == self.own_id:
             return True
         if view.zone != self.own_zone:
-            is_lost = view.lost_since >= 0 and now - view.lost_since > self._silence_timeout_s
+            is_lost = (
+                view.unreachable_since >= 0
+                and now - view.unreachable_since > self._silence_timeout_s
+            )
             return view.listed and not is_lost
-        if view.last_heard >= 0:
-            return now - view.last_heard <= self._silence_timeout_s
+        if view.last_message_at >= 0:
+            return now - view.last_message_at <= self._silence_timeout_s
         return view.listed and now - view.first_seen <= self._silence_timeout_s
 
     def is_reachable(self, instance: str) -> bool:
         """Return whether an instance is known and the last message to it was delivered."""
         view = self.instances.get(instance)
-        return view is not None and view.lost_since < 0
+        return view is not None and view.unreachable_since < 0
 
     def refresh_live(self, now: float) -> bool:
         """Recompute the live instances and update cached owners; return whether the set changed."""
@@ -168,7 +171,10 @@
             if owner not in current and owner in previous:
                 del self._owners[target]
             elif owner in current:
-                best = max([owner, *joined], key=lambda instance: rank(target, instance))
+                best = max(
+                    [owner, *joined],
+                    key=lambda instance: compute_rendezvous_weight(target, instance),
+                )
                 self._owners[target] = best
 
     def find_owner(self, target: TargetView) -> str:
@@ -209,7 +215,7 @@
         if view is not None:
             self._targets_by_service[view.service_name].remove(view)
 
-    def note_target(self, view: TargetView, configuration: Configuration) -> None:
+    def update_load_sums(self, view: TargetView, configuration: Configuration) -> None:
         """Update the load sums after the view of a target has changed.
 
         The mean load is needed for each slot that is granted. Summing over every target of the
@@ -223,16 +229,16 @@
             entry.targets += 1
             self._summed_targets[view.id] = (view.service_name, view.load)
 
-    def is_counted(self, target: str) -> bool:
+    def is_in_load_sums(self, target: str) -> bool:
         """Return whether the load of a target is included in the sums."""
         return target in self._summed_targets
 
-    def compute_sums(self, configuration: Configuration) -> dict[str, LoadSum]:
+    def compute_own_zone_sums(self, configuration: Configuration) -> dict[str, LoadSum]:
         """Return load and number of the ready targets owned by the own zone, by service."""
         self._recompute_sums_on_config_change(configuration)
         return {name: entry for name, entry in self._sums.items() if entry.targets}
 
-    def compute_mean(self, service: Service, configuration: Configuration) -> tuple[int, int]:
+    def compute_total_load(self, service: Service, configuration: Configuration) -> tuple[int, int]:
         """Return the total load and number of the service's ready targets in all zones in service.
 
         The mean load is their quotient.
@@ -247,7 +253,7 @@
                 count += entry.targets
         return load, count
 
-    def drop_stale(self, configuration: Configuration, oldest: float) -> None:
+    def expire_loads(self, configuration: Configuration, oldest: float) -> None:
         """Discard loads that were last received before the local time `oldest`.
 
         The sums of a partitioned zone, and the load of a target that no longer has an owner, would
@@ -261,7 +267,7 @@
             if 0 <= view.updated < oldest:
                 view.updated = -1.0
                 view.ready = False
-                self.note_target(view, configuration)
+                self.update_load_sums(view, configuration)
 
     def _recompute_sums_on_config_change(self, configuration: Configuration) -> None:
         """Recompute the sums if the configuration changed: targets may be out of service now."""
@@ -269,7 +275,7 @@
             return
         self._summed_config_version = configuration.version
         for view in self.targets.values():
-            self.note_target(view, configuration)
+            self.update_load_sums(view, configuration)
 
     def _remove_from_sums(self, target: str) -> None:
         counted = self._summed_targets.pop(target, None)
@@ -286,4 +292,7 @@
         if zone not in self._live_by_zone:
             later = [name for name in zones if name > zone]
             zone = later[0] if later else zones[0]
-        return max(self._live_by_zone[zone], key=lambda instance: rank(target.id, instance))
+        return max(
+            self._live_by_zone[zone],
+            key=lambda instance: compute_rendezvous_weight(target.id, instance),
+        )
--- a/rhubarbbend/core/_rendezvous.py
+++ b/rhubarbbend/core/_rendezvous.py
@@ -10,7 +10,7 @@
 import xxhash
 
 
-def weigh_names(key: str, names: Iterable[str]) -> list[int]:
+def compute_weights(key: str, names: Iterable[str]) -> list[int]:
     """Return the weight of each name for a key; the name with the highest weight ranks first."""
     seed = xxhash.xxh64_intdigest(key.encode())
     return [xxhash.xxh64_intdigest(name.encode(), seed) for name in names]
@@ -19,10 +19,10 @@
 def rank_names(key: str, names: Iterable[str]) -> list[str]:
     """Return the names sorted by descending weight for a key."""
     candidates = list(names)
-    weights = dict(zip(candidates, weigh_names(key, candidates), strict=True))
+    weights = dict(zip(candidates, compute_weights(key, candidates), strict=True))
     return sorted(candidates, key=weights.__getitem__, reverse=True)
 
 
-def place_key(key: str) -> float:
+def hash_to_unit_interval(key: str) -> float:
     """Hash a key to a number from 0 to 1 that is the same at every instance."""
     return xxhash.xxh64_intdigest(key.encode()) / 2**64
--- a/rhubarbbend/core/_stop.py
+++ b/rhubarbbend/core/_stop.py
@@ -12,11 +12,11 @@
 
 from rhubarbbend.core import actions, events
 from rhubarbbend.core._context import Context, EventHandler
-from rhubarbbend.core.claims._claims import ClaimDuty
-from rhubarbbend.core.members._members import MemberDuty
+from rhubarbbend.core.claims._claim_coordinator import ClaimCoordinator
+from rhubarbbend.core.members._members import MembershipCoordinator
 from rhubarbbend.core.messages import Message
-from rhubarbbend.core.owners._owner import OwnerDuty
-from rhubarbbend.core.requests._entry import EntryDuty
+from rhubarbbend.core.owners._owner import OwnershipCoordinator
+from rhubarbbend.core.requests._coordinator import RequestCoordinator
 
 DRAIN_CHECK_INTERVAL_S: Final = 0.1
 # How long, beyond the balancer lag, the exit may be delayed by outcomes of commands that could not
@@ -33,30 +33,30 @@
     ENDED = "ended"
 
 
-class StopDuty:
+class ShutdownCoordinator:
     """Carries out a planned stop. Invariant: the phase only advances."""
 
     def __init__(
         self,
         context: Context,
-        entry: EntryDuty,
-        owner: OwnerDuty,
-        claims: ClaimDuty,
-        members: MemberDuty,
+        requests: RequestCoordinator,
+        owner: OwnershipCoordinator,
+        claims: ClaimCoordinator,
+        members: MembershipCoordinator,
     ) -> None:
         self._context = context
-        self._entry = entry
+        self._requests = requests
         self._owner = owner
         self._claims = claims
         self._members = members
         self._phase = StopPhase.SERVING
         self._started_at = 0.0
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return the handler of `StopRequested`."""
         return {events.StopRequested: self._handle_stop}
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return no handlers; a planned stop involves no messages of its own."""
         return {}
 
@@ -67,15 +67,15 @@
         self._phase = StopPhase.UNREADY
         self._started_at = now
         context.stopping = True
-        context.log("stop_begun", open=str(self._entry.count_open()))
+        context.log("stop_begun", open=str(self._requests.count_open_requests()))
         context.emit(actions.SetReady(False))
-        context.fleet.instances[context.identity.instance].said_leaving = True
+        context.fleet.instances[context.identity.instance].reported_leaving = True
         context.fleet.refresh_live(now)
         # Peers must learn that this instance is leaving before the handovers arrive, so that they
         # know that they own its targets.
-        self._members.announce(now)
+        self._members.broadcast_heartbeat(now)
         self._owner.hand_over_all(now)
-        self._entry.register_slots(now)
+        self._requests.renew_slots(now)
         # An instance that was never ready is unknown to the balancer, so there is no lag to wait.
         lag = context.options.balancer_lag if context.config_ready else 0.0
         context.set_timer(now + lag, self._drain)
@@ -92,7 +92,7 @@
             self._exit(now)
             return
         within_write_timeout = elapsed < options.balancer_lag + OUTCOME_WRITE_TIMEOUT_S
-        busy = self._entry.count_open() > 0
+        busy = self._requests.count_open_requests() > 0
         if busy or (self._claims.has_pending_writes() and within_write_timeout):
             self._context.set_timer(now + DRAIN_CHECK_INTERVAL_S, self._exit_if_drained)
             return
--- a/rhubarbbend/core/_suspects.py
+++ b/rhubarbbend/core/_suspects.py
@@ -24,7 +24,7 @@
 # zones on an overloaded machine. Without the delay the request crashed a third engine in 3 of 18
 # runs there. A request that merely ran beside a crash is delayed by about as long as an engine
 # takes to begin an answer.
-NOTICE_WAIT: Final = 0.05
+CRASH_NOTICE_DELAY_S: Final = 0.05
 
 LimitListener = Callable[[str, float], None]
 
@@ -43,7 +43,7 @@
 
 
 @attrs.define(slots=True, frozen=True)
-class Crash:
+class ObservedCrash:
     """A crash as observed by one attempt; times are local times.
 
     `dispatched_at` is when the attempt was sent and `failed_at` when its connection failed.
@@ -54,7 +54,7 @@
     failed_at: float
 
 
-class SuspectDuty:
+class CrashSuspectTracker:
     """Counts crashes by request digest.
 
     Invariant: a digest is removed once its latest crash is older than `suspect_hold`.
@@ -67,31 +67,31 @@
         self._ended_at: dict[str, float] = {}
         self._limit_listener: LimitListener = lambda digest, now: None
 
-    def set_listener(self, listener: LimitListener) -> None:
+    def set_limit_listener(self, listener: LimitListener) -> None:
         """Set the callback for a digest that has just reached the limit.
 
         It is called with the digest and the current local time.
         """
         self._limit_listener = listener
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return the handler of `Started`."""
         return {events.Started: self._handle_start}
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return the handler of crash notices from other instances."""
         return {CrashNotice: self._handle_notice}
 
-    def count_crashes(self, digest: str) -> int:
+    def get_crash_count(self, digest: str) -> int:
         """Return the number of crashes counted against a digest."""
         record = self._crashes_by_digest.get(digest)
         return 0 if record is None else record.count
 
-    def is_refused(self, digest: str) -> bool:
+    def has_reached_limit(self, digest: str) -> bool:
         """Return whether a digest has reached the crash limit, so that its requests are refused."""
-        return self.count_crashes(digest) >= self._context.options.suspect_limit
+        return self.get_crash_count(digest) >= self._context.options.suspect_limit
 
-    def record_crash(self, digest: str, crash: Crash, now: float) -> None:
+    def record_crash(self, digest: str, crash: ObservedCrash, now: float) -> None:
         """Count a crash against a digest and notify every known instance.
 
         A crash is ignored if the attempt was sent after the target is known to have ended. A dead
@@ -116,11 +116,11 @@
             if peer != self._context.identity.instance:
                 self._context.send(peer, notice)
 
-    def clear(self, digest: str) -> None:
+    def forget_digest(self, digest: str) -> None:
         """Remove all crashes counted against a digest, because its request has completed."""
         self._crashes_by_digest.pop(digest, None)
 
-    def list_crashes(self, now: float) -> list[CrashCount]:
+    def list_crash_counts(self, now: float) -> list[CrashCount]:
         """Return all crash counts, to be sent to a zone that queries them."""
         return [
             CrashCount(digest=digest, count=entry.count, age=now - entry.at, last_target=boot)
@@ -130,7 +130,7 @@
             for boot in sorted(entry.boots)
         ]
 
-    def merge(self, crashes: list[CrashCount], now: float) -> None:
+    def merge_crash_counts(self, crashes: list[CrashCount], now: float) -> None:
         """Merge the crash counts of another instance."""
         for crash in crashes:
             self._ended_at.setdefault(crash.last_target, now - crash.age)
@@ -147,12 +147,12 @@
         record.boots.add(boot_id)
         record.count = len(record.boots)
         record.at = max(record.at, now - age)
-        if self.is_refused(digest):
+        if self.has_reached_limit(digest):
             self._limit_listener(digest, now)
         return True
 
     def _handle_notice(self, sender: str, notice: CrashNotice, now: float) -> None:
-        self.merge(notice.crashes, now)
+        self.merge_crash_counts(notice.crashes, now)
 
     def _handle_start(self, event: events.Started, now: float) -> None:
         self._context.repeat(self._context.options.suspect_hold / 10, self._expire, now)
--- a/rhubarbbend/core/accepted/_follower.py
+++ b/rhubarbbend/core/accepted/_follower.py
@@ -15,13 +15,13 @@
 from rhubarbbend import codes
 from rhubarbbend.core import actions, events
 from rhubarbbend.core._context import Context, EventHandler
-from rhubarbbend.core.accepted._snapshots import Snapshot, SnapshotDuty
+from rhubarbbend.core.accepted._snapshots import Snapshot, SnapshotWriter
 from rhubarbbend.core.configuration import Item, Position
-from rhubarbbend.core.members._polls import ZonePollScheduler
+from rhubarbbend.core.members._poll_scheduler import ZonePollScheduler
 from rhubarbbend.core.messages import ConfigItem, ConfigQuery, ConfigReply, Message
 
 CHANGE_TABLE: Final = "changes"
-SCAN_OP: Final = "config:scan"
+CHANGE_SCAN_OP: Final = "config:scan"
 MAX_SCAN_ROWS: Final = 100
 # Limits of one page sent to a peer, well below the size of a peer frame. The last declaration of a
 # page may exceed the limit in bytes.
@@ -74,10 +74,10 @@
     return f"{version:016d}"
 
 
-class FollowerDuty:
+class ConfigurationFollower:
     """Replicates accepted changes. Invariant: the version of the configuration never decreases."""
 
-    def __init__(self, context: Context, snapshots: SnapshotDuty) -> None:
+    def __init__(self, context: Context, snapshots: SnapshotWriter) -> None:
         self._context = context
         self._snapshots = snapshots
         self._poll_scheduler = ZonePollScheduler(context, context.options.config_interval)
@@ -91,7 +91,7 @@
         self._peer_query_deadline = 0.0
         self._last_unreadable_key = ""
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return handlers of the start and of replies of the platform."""
         return {
             events.Started: self._start,
@@ -100,7 +100,7 @@
             events.RowsRead: self._handle_rows,
         }
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return handlers of peers' configuration queries and replies."""
         return {ConfigQuery: self._handle_query, ConfigReply: self._handle_reply}
 
@@ -110,7 +110,7 @@
             return
         self._scan_started_at = now
         after = make_change_key(self._context.configuration.version)
-        self._context.emit(actions.ScanRows(SCAN_OP, CHANGE_TABLE, after, MAX_SCAN_ROWS))
+        self._context.emit(actions.ScanRows(CHANGE_SCAN_OP, CHANGE_TABLE, after, MAX_SCAN_ROWS))
 
     def apply_change(self, change: Change) -> None:
         """Apply a change if it directly follows the current version; ignore any other."""
@@ -186,15 +186,15 @@
         self._snapshots.record_stored(snapshot.version)
 
     def _handle_rows(self, event: events.RowsRead, now: float) -> None:
-        if event.op != SCAN_OP:
+        if event.op != CHANGE_SCAN_OP:
             return
         self._scan_started_at = -1.0
         context = self._context
         if event.status != "done":
-            context.platform_failed = now
+            context.last_platform_failure = now
             context.count(codes.PLATFORM_ERRORS)
             return
-        context.platform_worked = now
+        context.last_platform_success = now
         version_before = context.configuration.version
         for row in event.rows:
             self._apply_row(row)
@@ -236,7 +236,7 @@
         the version of a running instance never decreases.
         """
         context = self._context
-        if context.config_ready or not context.members_known:
+        if context.config_ready or not context.are_members_known:
             # With no target known, this instance would refuse every request, although other
             # instances could serve it.
             return
@@ -287,7 +287,7 @@
         position = max(position, Position(message.after + 1))
         page: list[Item] = []
         size = 0
-        found = configuration.list_from(position, MAX_PAGE_ITEMS + 1)
+        found = configuration.list_changes_from(position, MAX_PAGE_ITEMS + 1)
         for item in found[:MAX_PAGE_ITEMS]:
             if size >= MAX_PAGE_BYTES:
                 break
--- a/rhubarbbend/core/accepted/_proposals.py
+++ b/rhubarbbend/core/accepted/_proposals.py
@@ -15,7 +15,12 @@
 
 from rhubarbbend.core import actions, events
 from rhubarbbend.core._context import Context, EventHandler
-from rhubarbbend.core.accepted._follower import CHANGE_TABLE, Change, FollowerDuty, make_change_key
+from rhubarbbend.core.accepted._follower import (
+    CHANGE_TABLE,
+    Change,
+    ConfigurationFollower,
+    make_change_key,
+)
 from rhubarbbend.core.accepted._validation import find_problems
 from rhubarbbend.core.messages import Message
 
@@ -45,23 +50,23 @@
     started_at: float
 
 
-class ProposalDuty:
+class ProposalCoordinator:
     """Writes operators' changes. Invariant: each change gets exactly one answer."""
 
-    def __init__(self, context: Context, follower: FollowerDuty) -> None:
+    def __init__(self, context: Context, follower: ConfigurationFollower) -> None:
         self._context = context
         self._follower = follower
         self._proposals: dict[str, Proposal] = {}
         self._next_op = 0
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return handlers of operators' changes and of replies of the table."""
         return {
             events.ChangeProposed: self._handle_proposal,
             events.WriteDone: self._handle_write,
         }
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return no handlers: no peer messages are needed."""
         return {}
 
--- a/rhubarbbend/core/accepted/_snapshots.py
+++ b/rhubarbbend/core/accepted/_snapshots.py
@@ -31,7 +31,7 @@
     items: list[Item]
 
 
-class SnapshotDuty:
+class SnapshotWriter:
     """Stores a snapshot when none is recent.
 
     Invariant: at most one check or write is in progress on this instance.
@@ -43,14 +43,14 @@
         self._check_in_progress = False
         self._writing_version = 0
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return handlers of replies of the table and of the object store."""
         return {
             events.RowsRead: self._handle_row,
             events.SnapshotWritten: self._handle_written,
         }
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return no handlers: no peer messages are needed."""
         return {}
 
@@ -90,7 +90,7 @@
             self._check_in_progress = False
             return
         self._writing_version = configuration.version
-        snapshot = Snapshot(configuration.version, configuration.list_after(0))
+        snapshot = Snapshot(configuration.version, configuration.list_changes_after(0))
         self._context.emit(actions.WriteSnapshot(msgspec.msgpack.encode(snapshot)))
 
     def _handle_written(self, event: events.SnapshotWritten, now: float) -> None:
--- a/rhubarbbend/core/claims/_claim_queries.py
+++ b/rhubarbbend/core/claims/_claim_queries.py
@@ -15,7 +15,7 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core.claims._claim_rows import Outcome
 from rhubarbbend.core.messages import ClaimQuery, ClaimReply
-from rhubarbbend.core.requests._requests import Request
+from rhubarbbend.core.requests._request import Request
 
 MAX_UNANSWERED_QUERIES: Final = 2
 STATE_NEVER_DISPATCHED: Final = "never"
@@ -28,16 +28,17 @@
 class Query:
     """A query in flight to the holder of a claim.
 
-    `version` and `generation` are those of the claim row, `requests` the ids of the local requests
-    that wait for the reply, and `unanswered` counts the messages sent since the last reply.
+    `row_version` and `generation` are those of the claim row, `request_ids` the ids of the local
+    requests that wait for the reply, and `unanswered_count` counts the messages sent since the last
+    reply.
     """
 
     key: str
     holder: str
-    version: int
+    row_version: int
     generation: int
-    requests: list[str]
-    unanswered: int = 0
+    request_ids: list[str]
+    unanswered_count: int = 0
 
 
 class QueryListener(Protocol):
@@ -77,7 +78,7 @@
     def ask(self, request: Request, attempt: str, query: Query, now: float) -> None:
         """Query the holder of an attempt; requests that wait for one attempt share a query."""
         found = self._queries.setdefault(attempt, query)
-        found.requests.append(request.id)
+        found.request_ids.append(request.id)
         if found is query:
             self._send_query(attempt, now)
 
@@ -86,11 +87,11 @@
         query = self._queries.get(message.attempt)
         if query is None or query.holder != sender or query.key != message.key:
             return
-        query.unanswered = 0
+        query.unanswered_count = 0
         if message.state == STATE_RUNNING:
             return
         del self._queries[message.attempt]
-        for request_id in query.requests:
+        for request_id in query.request_ids:
             self._notify_listener(request_id, query, message, now)
 
     def handle_peer_lost(self, event: events.PeerLost, now: float) -> None:
@@ -99,7 +100,7 @@
         Queries below MAX_UNANSWERED_QUERIES stay open and are sent again.
         """
         for attempt, query in list(self._queries.items()):
-            if query.holder == event.peer and query.unanswered >= MAX_UNANSWERED_QUERIES:
+            if query.holder == event.peer and query.unanswered_count >= MAX_UNANSWERED_QUERIES:
                 self._report_unresponsive(attempt, now)
 
     def _notify_listener(
@@ -119,13 +120,13 @@
         query = self._queries.get(attempt)
         if query is None:
             return
-        if not any(self._listener.find_request(request_id) for request_id in query.requests):
+        if not any(self._listener.find_request(request_id) for request_id in query.request_ids):
             del self._queries[attempt]
             return
-        if query.unanswered >= MAX_UNANSWERED_QUERIES:
+        if query.unanswered_count >= MAX_UNANSWERED_QUERIES:
             self._report_unresponsive(attempt, now)
             return
-        query.unanswered += 1
+        query.unanswered_count += 1
         self._context.count(codes.CLAIM_QUERIES)
         own = self._context.identity.instance
         self._context.send(query.holder, ClaimQuery(attempt=attempt, key=query.key, instance=own))
@@ -134,5 +135,5 @@
 
     def _report_unresponsive(self, attempt: str, now: float) -> None:
         query = self._queries.pop(attempt)
-        for request_id in query.requests:
+        for request_id in query.request_ids:
             self._listener.holder_unresponsive(request_id, now)
--- a/rhubarbbend/core/claims/_claim_rows.py
+++ b/rhubarbbend/core/claims/_claim_rows.py
@@ -78,28 +78,29 @@
 
 
 @attrs.define(slots=True)
-class Record:
+class KeyRecord:
     """The in-memory record of one key that this instance is claiming or has claimed.
 
-    `at` is the local time of creation or of the last change of state. `version` is the version of
-    the claim row, 0 until it is known. `won` is true if no other instance can have run the key:
-    the claim has been read back from the table, or the key is a reserved key of this instance.
-    `waiting` holds the ids of local requests that wait for the outcome, `asking` the peers that
-    have queried it. Invariant: once the state is NOT_RUN, `attempt` is never dispatched.
+    `updated_at` is the local time of creation or of the last change of state. `row_version` is the
+    version of the claim row, 0 until it is known. `exclusive` is true if no other instance can have
+    run the key: the claim has been read back from the table, or the key is a reserved key of this
+    instance. `waiting_requests` holds the ids of local requests that wait for the outcome,
+    `querying_peers` the peers that have queried it. Invariant: once the state is NOT_RUN, `attempt`
+    is never dispatched.
     """
 
     key: str
     digest: str
     attempt: str
     state: RecordState
-    at: float
+    updated_at: float
     generation: int = 1
-    version: int = 0
+    row_version: int = 0
     reserved: bool = False
-    won: bool = False
+    exclusive: bool = False
     outcome: Outcome | None = None
-    waiting: list[str] = attrs.Factory(list)
-    asking: set[str] = attrs.Factory(set)
+    waiting_requests: list[str] = attrs.Factory(list)
+    querying_peers: set[str] = attrs.Factory(set)
 
     @property
     def is_open(self) -> bool:
@@ -119,22 +120,22 @@
 class PendingWrite:
     """A claim row that is queued to be written or in flight.
 
-    `expect` is the row version that the table must hold, 0 for no row. `request` is the id of the
-    request that waits for the write, empty for an outcome. `since` is the local time at which the
-    row was created. `code` is the error with which the request is refused: by a refusal, or by a
-    claim that cannot be confirmed.
+    `expected_version` is the row version that the table must hold, 0 for no row. `request_id` is
+    the id of the request that waits for the write, empty for an outcome. `created_at` is the local
+    time at which the row was created. `code` is the error with which the request is refused: by a
+    refusal, or by a claim that cannot be confirmed.
     """
 
     purpose: WritePurpose
     key: str
     row: ClaimRow
-    expect: int
-    request: str
-    since: float
+    expected_version: int
+    request_id: str
+    created_at: float
     code: ErrorCode = codes.OVERLOADED
 
 
-def make_key(account: str, key: str) -> str:
+def make_table_key(account: str, key: str) -> str:
     """Return the table key of an account's idempotency key.
 
     Account names and idempotency keys may contain any separator. The name is therefore prefixed
@@ -143,7 +144,7 @@
     return f"{len(account)}/{account}/{key}"
 
 
-def split_key(table_key: str) -> tuple[str, str]:
+def split_table_key(table_key: str) -> tuple[str, str]:
     """Return the account and the idempotency key of a table key.
 
     The account of a malformed table key is empty, and the table key is returned unchanged.
--- a/rhubarbbend/core/claims/_claim_writes.py
+++ b/rhubarbbend/core/claims/_claim_writes.py
@@ -15,7 +15,7 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core.claims._claim_rows import CLAIM_TABLE, PendingWrite, WritePurpose
 
-OP_PREFIX: Final = "claim:"
+CLAIM_OP_PREFIX: Final = "claim:"
 MAX_IN_FLIGHT_TRANSACTIONS: Final = 2
 OUTCOME_RETRY_INTERVAL_S: Final = 1.0
 
@@ -66,11 +66,11 @@
         if batch is None:
             return
         if event.status == "done":
-            self._context.platform_worked = now
+            self._context.last_platform_success = now
             for write, applied, row in zip(batch, event.applied, event.rows, strict=True):
                 self._on_completed(write, applied, row, now)
         else:
-            self._context.platform_failed = now
+            self._context.last_platform_failure = now
             self._context.count(codes.PLATFORM_ERRORS)
             for write in batch:
                 self._retry_or_give_up(write, now)
@@ -86,10 +86,10 @@
             batch = self._queue[: self._context.options.claim_batch]
             del self._queue[: len(batch)]
             self._next_op += 1
-            op = f"{OP_PREFIX}{self._next_op}"
+            op = f"{CLAIM_OP_PREFIX}{self._next_op}"
             self._in_flight[op] = batch
             writes = [
-                actions.Write(CLAIM_TABLE, w.key, msgspec.json.encode(w.row), w.expect)
+                actions.Write(CLAIM_TABLE, w.key, msgspec.json.encode(w.row), w.expected_version)
                 for w in batch
             ]
             self._context.emit(actions.WriteRows(op, writes))
@@ -97,12 +97,12 @@
     def _retry_or_give_up(self, write: PendingWrite, now: float) -> None:
         options = self._context.options
         if write.purpose is WritePurpose.OUTCOME:
-            if now - write.since < options.record_lifetime:
+            if now - write.created_at < options.record_lifetime:
                 self._scheduled_retries += 1
                 self._context.set_timer(
                     now + OUTCOME_RETRY_INTERVAL_S, lambda at: self._retry_outcome(write, at)
                 )
-        elif now - write.since < options.claim_timeout and self._is_request_open(write):
+        elif now - write.created_at < options.claim_timeout and self._is_request_open(write):
             self._context.count(codes.RETRY_CLAIM)
             self._queue.append(write)
         else:
--- a/rhubarbbend/core/claims/_keys.py
+++ b/rhubarbbend/core/claims/_keys.py
@@ -34,7 +34,7 @@
     return 0 < len(key) <= MAX_KEY_CHARS and all("!" <= char <= "~" for char in key)
 
 
-def is_reserved(key: str) -> bool:
+def has_reserved_prefix(key: str) -> bool:
     """Whether a key has the prefix of reserved keys; its signature is not checked."""
     return key.startswith(RESERVED_PREFIX)
 
@@ -44,13 +44,13 @@
     return digest.hexdigest()[:SIGNATURE_CHARS]
 
 
-def encode_reserved(secret: bytes, account: str, key: ReservedKey) -> str:
+def encode_reserved_key(secret: bytes, account: str, key: ReservedKey) -> str:
     """Encode a reserved key and sign it for one account."""
     payload = f"{RESERVED_PREFIX}{key.issuer}.{key.incarnation:x}.{key.number:x}.{key.expires:x}"
     return f"{payload}.{_sign(secret, account, payload)}"
 
 
-def decode_reserved(secret: bytes, account: str, text: str) -> Result[ReservedKey, str]:
+def decode_reserved_key(secret: bytes, account: str, text: str) -> Result[ReservedKey, str]:
     """Decode a reserved key and check its signature; the failure is a description of the error."""
     payload, _, signature = text.rpartition(".")
     expected = _sign(secret, account, payload)
--- a/rhubarbbend/core/configuration.py
+++ b/rhubarbbend/core/configuration.py
@@ -172,11 +172,11 @@
         self._compact_positions()
         return True
 
-    def list_after(self, version: int, limit: int = 0) -> list[Item]:
+    def list_changes_after(self, version: int, limit: int = 0) -> list[Item]:
         """Return the items that changed after a version, oldest first; `limit` 0 means all."""
-        return self.list_from(Position(version + 1), limit)
+        return self.list_changes_from(Position(version + 1), limit)
 
-    def list_from(self, position: Position, limit: int = 0) -> list[Item]:
+    def list_changes_from(self, position: Position, limit: int = 0) -> list[Item]:
         """Return the items after a position, oldest first; `limit` 0 means all.
 
         The cost is proportional to the number of items after the position. With tens of thousands
@@ -193,7 +193,7 @@
                     break
         return found
 
-    def iterate_live(self) -> Iterator[Item]:
+    def iterate_declared(self) -> Iterator[Item]:
         """Yield the items of all declarations that have not been removed."""
         return (item for item in self._items.values() if item.value)
 
@@ -204,9 +204,9 @@
 
     def is_target_in_service(self, target: str, zone: str) -> bool:
         """Return whether operators allow new work on a target: both it and its zone in service."""
-        return self.is_target_declared_in(target) and self.is_zone_in_service(zone)
+        return self.is_target_declared_in_service(target) and self.is_zone_in_service(zone)
 
-    def is_target_declared_in(self, target: str) -> bool:
+    def is_target_declared_in_service(self, target: str) -> bool:
         """Return whether a target itself is in service; a target that is not declared is.
 
         The state of its zone is not considered.
--- a/rhubarbbend/core/directory/_directory.py
+++ b/rhubarbbend/core/directory/_directory.py
@@ -24,17 +24,17 @@
 class DirectoryOptions(msgspec.Struct, frozen=True):
     """Durations in seconds for which an uncertain state of a target is assumed.
 
-    A target that has really left may receive requests for at most `lapse_grace` after its
-    registration went missing. The targets of a zone may have become cold while it was out of
-    service; their registrations report that within `return_caution`, and until then they are
-    treated as cold.
+    A target that has really left may receive requests for at most `missing_registration_grace_s`
+    after its registration went missing. The targets of a zone may have become cold while it was out
+    of service; their registrations report that within `assumed_cold_time_s`, and until then they
+    are treated as cold.
     """
 
-    lapse_grace: float = 1.7
-    return_caution: float = 2.0
+    missing_registration_grace_s: float = 1.7
+    assumed_cold_time_s: float = 2.0
 
 
-class Directory:
+class TargetRegistry:
     """All known targets. Invariant: a target that has started to drain is never ready again."""
 
     def __init__(self, options: DirectoryOptions | None = None) -> None:
@@ -46,7 +46,7 @@
         # When operators took each zone out of service; zones in service are left out.
         self._out_of_service_since: dict[str, float] = {}
         # When the store last answered again after an outage.
-        self.store_returned_at = -math.inf
+        self.store_recovered_at = -math.inf
         self._is_first_read = True
 
     def set_options(self, options: DirectoryOptions) -> None:
@@ -80,17 +80,17 @@
         targets = self._by_service.get(service, ())
         return [target for target in targets if target.state is TargetState.READY]
 
-    def list_neighbours(self, target: Target) -> list[str]:
+    def list_others_in_zone(self, target: Target) -> list[str]:
         """Return the ids of the other targets in a target's zone."""
         return [t.id for t in self._targets.values() if t.zone == target.zone and t is not target]
 
-    def finish_first_read(self) -> None:
+    def mark_initial_read_complete(self) -> None:
         """Record that all targets registered before this instance started are now known."""
         self._is_first_read = False
 
-    def note_store_returned(self, now: float) -> None:
+    def record_store_recovery(self, now: float) -> None:
         """Record that the store answers again after an outage, since `now` or earlier."""
-        self.store_returned_at = max(self.store_returned_at, now)
+        self.store_recovered_at = max(self.store_recovered_at, now)
 
     def register(self, record: TargetRecord, now: float) -> Target:
         """Add or update a target from its record and return it; ignore records of old starts."""
@@ -116,16 +116,17 @@
         if target is None:
             return
         if (
-            now - self.store_returned_at < REREGISTRATION_WINDOW_S
+            now - self.store_recovered_at < REREGISTRATION_WINDOW_S
             and target.state is TargetState.READY
         ):
             target.expires_at = min(
-                self.store_returned_at + REREGISTRATION_WINDOW_S, now + self._options.lapse_grace
+                self.store_recovered_at + REREGISTRATION_WINDOW_S,
+                now + self._options.missing_registration_grace_s,
             )
             return
         self._remove(target, now)
 
-    def drop_gone(self, now: float) -> list[Target]:
+    def expire_unregistered(self, now: float) -> list[Target]:
         """Remove the targets whose registrations did not come back in time, and return them."""
         expired = [
             t for t in self._targets.values() if t.expires_at is not None and now >= t.expires_at
@@ -138,17 +139,17 @@
             del self._removed[target_id]
         return expired
 
-    def take_zone_out(self, zone: str, now: float) -> None:
+    def take_zone_out_of_service(self, zone: str, now: float) -> None:
         """Stop sending requests to the targets of a zone."""
         self._out_of_service_since.setdefault(zone, now)
 
-    def take_zone_in(self, zone: str, now: float) -> None:
+    def return_zone_to_service(self, zone: str, now: float) -> None:
         """Send requests to a zone's targets again, treating them as cold at first."""
         if self._out_of_service_since.pop(zone, None) is None:
             return
         for target in self._targets.values():
             if target.zone == zone:
-                target.cold_until = max(target.cold_until, now + self._options.return_caution)
+                target.cold_until = max(target.cold_until, now + self._options.assumed_cold_time_s)
 
     def _replace(self, record: TargetRecord, now: float) -> Target:
         old = self._targets.get(record.id)
--- a/rhubarbbend/core/members/_load_sharing.py
+++ b/rhubarbbend/core/members/_load_exchange.py
@@ -10,7 +10,7 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core._fleet import InstanceView, LoadSum, TargetView, ZoneSums
 from rhubarbbend.core.messages import ServiceSum, SlotMessage, SlotRelease, TargetLoad
-from rhubarbbend.core.owners._owner import OwnerDuty
+from rhubarbbend.core.owners._owner import OwnershipCoordinator
 
 # Slot messages carry loads of single targets only in a zone with at most this many other instances.
 # In a larger zone each instance has a small part of the load, so that the errors of stale figures
@@ -21,10 +21,10 @@
 class LoadExchange:
     """Attaches the newest loads to slot messages and records the loads that peers send."""
 
-    def __init__(self, context: Context, owner: OwnerDuty) -> None:
+    def __init__(self, context: Context, owner: OwnershipCoordinator) -> None:
         self._context = context
         self._owner = owner
-        context.add_loads = self._attach_loads
+        context.attach_loads = self._attach_loads
 
     def record_target_load(self, load: TargetLoad, now: float) -> None:
         """Record the load of a target from its owner's heartbeat; ignore it for an owned target."""
@@ -38,7 +38,7 @@
         view.cold = load.cold
         view.models = load.models
         view.updated = now
-        self._context.fleet.note_target(view, self._context.configuration)
+        self._context.fleet.update_load_sums(view, self._context.configuration)
 
     def _attach_loads(self, view: InstanceView, message: SlotMessage) -> None:
         """Attach the newest loads of its service to a slot message.
@@ -54,14 +54,16 @@
         if isinstance(message, SlotRelease) and message.sent:
             self._record_release(view, target)
         if view.zone != context.identity.zone:
-            sums = context.fleet.compute_sums(context.configuration).get(target.service_name)
+            sums = context.fleet.compute_own_zone_sums(context.configuration).get(
+                target.service_name
+            )
             if sums is not None:
                 entry = ServiceSum(
                     service_name=target.service_name, load=sums.load, targets=sums.targets
                 )
                 message.sums = [entry]
         elif self._count_zone_peers() <= MAX_PEERS_FOR_LOAD_FIGURES:
-            message.figures = self._owner.list_figures(target.service_name)
+            message.figures = self._owner.list_load_figures(target.service_name)
 
     def _record_release(self, owner: InstanceView, target: TargetView) -> None:
         """Subtract a slot that is being released before its owner reports the new load.
@@ -73,14 +75,14 @@
         if owner.zone == self._context.identity.zone:
             if not self._owner.owns(target.id) and target.load > 0:
                 target.load -= 1
-                fleet.note_target(target, self._context.configuration)
+                fleet.update_load_sums(target, self._context.configuration)
             return
         zone = fleet.zone_sums.get(owner.zone)
         entry = None if zone is None else zone.sums.get(target.service_name)
         if entry is not None and entry.load > 0:
             entry.load -= 1
 
-    def take_loads(self, sender: str, message: SlotMessage, now: float) -> None:
+    def record_loads(self, sender: str, message: SlotMessage, now: float) -> None:
         """Record the loads that a slot message carries: of single targets or of a whole zone."""
         fleet = self._context.fleet
         for figure in message.figures:
@@ -88,7 +90,7 @@
             if target is not None and target.updated >= 0 and not self._owner.owns(target.id):
                 target.load = figure.load
                 target.updated = now
-                fleet.note_target(target, self._context.configuration)
+                fleet.update_load_sums(target, self._context.configuration)
         view = fleet.instances.get(sender)
         if view is None or view.zone == self._context.identity.zone:
             return
--- a/rhubarbbend/core/members/_member_list.py
+++ b/rhubarbbend/core/members/_member_list.py
@@ -73,7 +73,7 @@
         view.host = entry.host
         view.port = entry.port
         view.listed_leaving = view.leaving = entry.state == STATE_LEAVING
-        fleet.note_target(view, self._context.configuration)
+        fleet.update_load_sums(view, self._context.configuration)
 
     def record_instance(self, member: Member, now: float) -> None:
         """Add or update the view of an instance."""
@@ -157,7 +157,7 @@
         if view is None or member_id == self._context.identity.instance:
             return
         view.listed = False
-        if now - view.last_heard > self._context.options.peer_silence:
+        if now - view.last_message_at > self._context.options.peer_silence:
             del fleet.instances[member_id]
             self._unlisted_since.pop(member_id, None)
             self._context.log("peer_gone", peer=member_id)
--- a/rhubarbbend/core/members/_members.py
+++ b/rhubarbbend/core/members/_members.py
@@ -14,11 +14,11 @@
 from rhubarbbend.core import actions, events
 from rhubarbbend.core._context import Context, EventHandler
 from rhubarbbend.core._fleet import KIND_INSTANCE, KIND_TARGET, InstanceView
-from rhubarbbend.core._suspects import SuspectDuty
-from rhubarbbend.core.members._load_sharing import LoadExchange
+from rhubarbbend.core._suspects import CrashSuspectTracker
+from rhubarbbend.core.members._load_exchange import LoadExchange
 from rhubarbbend.core.members._member_list import MemberList
-from rhubarbbend.core.members._polls import ZonePollScheduler
-from rhubarbbend.core.members._zone_links import ZoneExchange
+from rhubarbbend.core.members._poll_scheduler import ZonePollScheduler
+from rhubarbbend.core.members._zone_exchange import ZoneExchange
 from rhubarbbend.core.messages import (
     Heartbeat,
     Member,
@@ -29,7 +29,7 @@
     ZoneQuery,
     ZoneReply,
 )
-from rhubarbbend.core.owners._owner import OwnerDuty
+from rhubarbbend.core.owners._owner import OwnershipCoordinator
 
 # Loads of targets and of other zones expire when no new figure has arrived for this many zone
 # intervals.
@@ -50,11 +50,11 @@
 class OwnerListener(Protocol):
     """Notified when targets may have a new owner."""
 
-    def register_slots(self, now: float) -> None:
+    def renew_slots(self, now: float) -> None:
         """Send the current owners the slots that this instance holds."""
         ...
 
-    def set_silence_listener(self, on_owner_timeout: Callable[[str, float], None]) -> None:
+    def set_owner_timeout_callback(self, on_owner_timeout: Callable[[str, float], None]) -> None:
         """Set the callback for an owner that did not reply in time; it gets the owner and time."""
         ...
 
@@ -67,7 +67,7 @@
         ...
 
 
-class MemberDuty:
+class MembershipCoordinator:
     """Maintains the views of instances and targets.
 
     Invariant: once started, this instance is always in its own view.
@@ -76,9 +76,9 @@
     def __init__(
         self,
         context: Context,
-        owner: OwnerDuty,
+        owner: OwnershipCoordinator,
         owner_listener: OwnerListener,
-        suspects: SuspectDuty,
+        suspects: CrashSuspectTracker,
     ) -> None:
         self._context = context
         self._owner = owner
@@ -87,18 +87,18 @@
         self._zone_exchange = ZoneExchange(
             context, self._member_list, suspects, self._notify_version
         )
-        self.loads = LoadExchange(context, owner)
+        self.load_exchange = LoadExchange(context, owner)
         self._version_listener: VersionListener | None = None
         self._list_read = False
         self._loads_sent_at = -1.0
         self._list_poll_scheduler = ZonePollScheduler(context, context.options.list_interval)
-        owner_listener.set_silence_listener(self._mark_unreachable)
+        owner_listener.set_owner_timeout_callback(self._mark_unreachable)
 
     def set_version_listener(self, listener: VersionListener) -> None:
         """Set the listener that is notified of the configuration versions of peers."""
         self._version_listener = listener
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return handlers of the start, seeds, member lists, lost peers, pauses and queries."""
         return {
             events.Started: self._start,
@@ -109,7 +109,7 @@
             events.VersionsAsked: self._zone_exchange.query_versions,
         }
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return handlers of heartbeats, zone queries and member queries, and their replies."""
         return {
             Heartbeat: self._handle_heartbeat,
@@ -119,7 +119,7 @@
             MembersReply: self._handle_members_reply,
         }
 
-    def announce(self, now: float, loads: list[TargetLoad] | None = None) -> None:
+    def broadcast_heartbeat(self, now: float, loads: list[TargetLoad] | None = None) -> None:
         """Send a heartbeat, with loads if given, to every other instance of the zone.
 
         The last live instance of a zone that stops sends it to every instance of the fleet.
@@ -168,18 +168,18 @@
         self._loads_sent_at = now
         loads = self._owner.list_loads()
         if loads:
-            self.announce(now, loads)
+            self.broadcast_heartbeat(now, loads)
 
     def refresh_liveness(self, now: float) -> None:
         """Recompute which instances are live; if that changed, update the owners of targets."""
         if self._context.fleet.refresh_live(now):
             self._owner.refresh_ownership(now)
-            self._owner_listener.register_slots(now)
+            self._owner_listener.renew_slots(now)
 
     def _start(self, event: events.Started, now: float) -> None:
         context = self._context
         identity = context.identity
-        context.wall_offset = event.wall - now
+        context.unix_time_offset_s = event.wall - now
         context.fleet.instances[identity.instance] = InstanceView(
             identity.instance,
             identity.zone,
@@ -208,7 +208,7 @@
         context = self._context
         if self._list_poll_scheduler.acquire_turn(now) or not self._list_read:
             context.emit(actions.ReadList())
-        if context.members_known:
+        if context.are_members_known:
             return
         # The platform may be unavailable; the seed peers named in the settings know the others.
         known = [peer for peer in context.fleet.instances if peer != context.identity.instance]
@@ -219,27 +219,27 @@
         context = self._context
         self._expire_silent_peers(now)
         oldest = now - MAX_LOAD_AGE_INTERVALS * context.options.zone_interval
-        context.fleet.drop_stale(context.configuration, oldest)
+        context.fleet.expire_loads(context.configuration, oldest)
         self.refresh_liveness(now)
         self._owner.refresh_ownership(now)
-        self.announce(now)
+        self.broadcast_heartbeat(now)
 
     def _expire_silent_peers(self, now: float) -> None:
         silence = self._context.options.peer_silence
         for view in self._context.fleet.instances.values():
-            if view.id == self._context.identity.instance or view.last_heard < 0:
+            if view.id == self._context.identity.instance or view.last_message_at < 0:
                 continue
-            if now - view.last_heard > silence and view.zone == self._context.identity.zone:
-                view.last_heard = -1.0
+            if now - view.last_message_at > silence and view.zone == self._context.identity.zone:
+                view.last_message_at = -1.0
                 view.first_seen = now - silence - 1.0
                 self._context.count(codes.PEERS_LOST)
                 self._context.log("peer_silent", peer=view.id)
-                self._owner.free_holder(view.id, view.incarnation + 1, now)
+                self._owner.expire_holder_slots(view.id, view.incarnation + 1, now)
 
     def _handle_list(self, event: events.ListRead, now: float) -> None:
         self._member_list.handle_list(event.entries, now)
         context = self._context
-        context.members_known = True
+        context.are_members_known = True
         if not self._list_read:
             self._list_read = True
             self._context.log("list_read", entries=str(len(event.entries)))
@@ -254,18 +254,18 @@
             view.first_seen = now
             fleet.instances[message.instance] = view
             self._context.log("peer_met", peer=message.instance)
-        was_live = fleet.is_live(view, now) and view.last_heard >= 0
+        was_live = fleet.is_live(view, now) and view.last_message_at >= 0
         was_leaving = view.leaving
         restarted = 0 < view.incarnation < message.incarnation
-        view.last_heard = now
+        view.last_message_at = now
         view.incarnation = message.incarnation
-        view.said_leaving = message.leaving
+        view.reported_leaving = message.leaving
         view.config_version = message.config_version
-        view.version_heard = now
+        view.version_received_at = now
         if restarted:
-            self._owner.free_holder(view.id, view.incarnation, now)
+            self._owner.expire_holder_slots(view.id, view.incarnation, now)
         for load in message.loads:
-            self.loads.record_target_load(load, now)
+            self.load_exchange.record_target_load(load, now)
         self._member_list.mark_targets_leaving(message.leaving_targets)
         if not was_live or view.leaving != was_leaving:
             # Recompute liveness only if it may have changed: a zone sends many heartbeats.
@@ -291,8 +291,8 @@
         view = self._context.fleet.instances.get(peer)
         if view is None:
             return
-        if view.lost_since < 0:
-            view.lost_since = now
+        if view.unreachable_since < 0:
+            view.unreachable_since = now
             if view.zone != self._context.identity.zone:
                 self._context.set_timer(
                     now + UNREACHABLE_PEER_RETRY_S,
@@ -300,17 +300,17 @@
                 )
         self.refresh_liveness(now)
 
-    def hear(self, sender: str) -> None:
+    def record_message_from(self, sender: str) -> None:
         """Mark an instance reachable, because a message of it has arrived."""
         view = self._context.fleet.instances.get(sender)
         if view is not None:
-            view.lost_since = -1.0
+            view.unreachable_since = -1.0
 
     def _handle_pause(self, event: events.ProcessPaused, now: float) -> None:
         """Restart the silence timeout of peers: a paused process receives no heartbeats."""
         for view in self._context.fleet.instances.values():
-            if view.last_heard >= 0:
-                view.last_heard = now
+            if view.last_message_at >= 0:
+                view.last_message_at = now
 
     def _handle_members_query(self, sender: str, message: MembersQuery, now: float) -> None:
         self._context.send(sender, MembersReply(members=self._member_list.list_members()))
@@ -319,7 +319,7 @@
         """Record a peer's members; ignored once this instance has read the list itself."""
         if self._list_read:
             return
-        self._context.members_known = True
+        self._context.are_members_known = True
         for member in message.members:
             if member.kind == KIND_TARGET:
                 entry = events.Listed(
--- a/rhubarbbend/core/members/_zone_links.py
+++ b/rhubarbbend/core/members/_zone_exchange.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core import events
 from rhubarbbend.core._context import Context
 from rhubarbbend.core._fleet import LoadSum, ZoneSums
-from rhubarbbend.core._suspects import SuspectDuty
+from rhubarbbend.core._suspects import CrashSuspectTracker
 from rhubarbbend.core.members._member_list import MemberList
 from rhubarbbend.core.messages import ServiceSum, ZoneQuery, ZoneReply
 
@@ -28,7 +28,7 @@
         self,
         context: Context,
         member_list: MemberList,
-        suspects: SuspectDuty,
+        suspects: CrashSuspectTracker,
         on_version: VersionCallback,
     ) -> None:
         self._context = context
@@ -57,7 +57,7 @@
         for view in self._context.fleet.instances.values():
             if view.zone != self._context.identity.zone:
                 zone_unreachable = unreachable.setdefault(view.zone, [])
-                if view.lost_since >= 0 and view.listed:
+                if view.unreachable_since >= 0 and view.listed:
                     zone_unreachable.append(view.id)
         return unreachable
 
@@ -66,21 +66,21 @@
         context = self._context
         sums = [
             ServiceSum(service_name=name, load=entry.load, targets=entry.targets)
-            for name, entry in context.fleet.compute_sums(context.configuration).items()
+            for name, entry in context.fleet.compute_own_zone_sums(context.configuration).items()
         ]
         reply = ZoneReply(
             instance=context.identity.instance,
             zone=context.identity.zone,
             config_version=context.configuration.version,
             sums=sums,
-            crashes=self._suspects.list_crashes(now),
+            crashes=self._suspects.list_crash_counts(now),
             leaving=context.stopping,
             leaving_targets=self._member_list.list_leaving_targets(),
         )
         context.send(sender, reply)
         view = context.fleet.instances.get(sender)
         if view is not None:
-            view.said_leaving = message.leaving
+            view.reported_leaving = message.leaving
         self._on_version(sender, message.config_version, now)
 
     def handle_reply(self, sender: str, message: ZoneReply, now: float) -> None:
@@ -90,11 +90,11 @@
         view = self._context.fleet.instances.get(sender)
         if view is not None:
             view.config_version = message.config_version
-            view.version_heard = now
-            view.lost_since = -1.0
-            view.said_leaving = message.leaving
+            view.version_received_at = now
+            view.unreachable_since = -1.0
+            view.reported_leaving = message.leaving
         self._member_list.mark_targets_leaving(message.leaving_targets)
-        self._suspects.merge(message.crashes, now)
+        self._suspects.merge_crash_counts(message.crashes, now)
         self._on_version(sender, message.config_version, now)
 
     def query_versions(self, event: events.VersionsAsked, now: float) -> None:
--- a/rhubarbbend/core/owners/_grants.py
+++ b/rhubarbbend/core/owners/_grants.py
@@ -14,13 +14,13 @@
     SlotReply,
     SlotRequest,
 )
-from rhubarbbend.core.owners._books import Books, Slot
-from rhubarbbend.core.owners._ledger import OwnedTargetRegistry
+from rhubarbbend.core.owners._owned_target import OwnedTarget, Slot
 from rhubarbbend.core.owners._queue import Waiter
+from rhubarbbend.core.owners._registry import OwnedTargetRegistry
 
 REFUSAL_FULL: Final = "full"
-REFUSAL_QUEUE: Final = "queue_full"
-REFUSAL_WAIT: Final = "wait_too_long"
+REFUSAL_QUEUE_FULL: Final = "queue_full"
+REFUSAL_WAIT_TOO_LONG: Final = "wait_too_long"
 REFUSAL_NOT_READY: Final = "not_ready"
 REFUSAL_NOT_OWNER: Final = "not_owner"
 
@@ -39,7 +39,7 @@
         self._registry = registry
         self._incarnations: dict[str, int] = {}
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return the handlers of the messages that slot holders send."""
         return {
             SlotRequest: self._handle_request,
@@ -47,12 +47,12 @@
             SlotRenewal: self._handle_renewal,
         }
 
-    def refuse_waiters(self, owned_target: Books, refusal: str, owner: str = "") -> None:
+    def refuse_waiters(self, owned_target: OwnedTarget, refusal: str, owner: str = "") -> None:
         """Refuse every queued request of a target."""
         for waiter in owned_target.queue.remove_all():
             self._refuse(waiter.sender, waiter.request, refusal, owner=owner)
 
-    def serve_queue(self, owned_target: Books, now: float) -> None:
+    def serve_queue(self, owned_target: OwnedTarget, now: float) -> None:
         """Grant slots to queued requests in fair order while the target has capacity."""
         self._expire_waiters(owned_target, now)
         if self._check_ready(owned_target):
@@ -63,7 +63,7 @@
                 return
             self._grant(owned_target, waiter.sender, waiter.request, now)
 
-    def update_service_state(self, owned_target: Books, now: float) -> None:
+    def update_service_state(self, owned_target: OwnedTarget, now: float) -> None:
         """Handle a target that has gone out of service or has returned.
 
         If the target is out of service, queued requests are refused, because they would wait for a
@@ -72,7 +72,7 @@
         its limit only by completed requests.
         """
         view = self._context.fleet.targets.get(owned_target.target)
-        is_out = view is None or not self._context.takes_work(view)
+        is_out = view is None or not self._context.accepts_new_work(view)
         is_unreported = owned_target.last_report_at < 0 and not self._is_awaiting_first_report(
             owned_target, now
         )
@@ -84,7 +84,7 @@
         owned_target.out_of_service = is_out
 
     def register_slot(
-        self, owned_target: Books, held: HeldSlot, holder: str, incarnation: int, now: float
+        self, owned_target: OwnedTarget, held: HeldSlot, holder: str, incarnation: int, now: float
     ) -> None:
         """Register a slot that its holder or the former owner reports as held."""
         if owned_target.register_slot(held, holder, incarnation, now):
@@ -100,7 +100,7 @@
             stale = [
                 slot
                 for slot in owned_target.slots.values()
-                if now - slot.renewed > self._context.options.slot_lease
+                if now - slot.renewed_at > self._context.options.slot_lease
             ]
             for slot in stale:
                 self._registry.mark_in_doubt(owned_target, slot, now)
@@ -138,27 +138,27 @@
         refusal = REFUSAL_NOT_OWNER if owner else REFUSAL_NOT_READY
         self._refuse(sender, message, refusal, owner=owner)
 
-    def _is_awaiting_first_report(self, owned_target: Books, now: float) -> bool:
+    def _is_awaiting_first_report(self, owned_target: OwnedTarget, now: float) -> bool:
         """Return whether the target was taken over recently and its first report is still pending.
 
         If requests were refused during this time, they would fail at each change of owner although
         the target is healthy.
         """
         view = self._context.fleet.targets.get(owned_target.target)
-        if view is None or not self._context.takes_work(view):
+        if view is None or not self._context.accepts_new_work(view):
             return False
         return (
             owned_target.last_report_at < 0
             and now - owned_target.taken_over_at < FIRST_REPORT_TIMEOUT_S
         )
 
-    def _check_ready(self, owned_target: Books) -> str:
+    def _check_ready(self, owned_target: OwnedTarget) -> str:
         view = self._context.fleet.targets.get(owned_target.target)
-        if view is None or not owned_target.ready or not self._context.takes_work(view):
+        if view is None or not owned_target.ready or not self._context.accepts_new_work(view):
             return REFUSAL_NOT_READY
         return ""
 
-    def _check_model(self, owned_target: Books, model: str) -> str:
+    def _check_model(self, owned_target: OwnedTarget, model: str) -> str:
         """Return a refusal if the target has not loaded the requested model or adapter.
 
         Only instances of the target's own zone know what it has loaded. An instance of another zone
@@ -169,7 +169,9 @@
         loaded = [] if view is None else view.models
         return REFUSAL_NOT_READY if model and loaded and model not in loaded else ""
 
-    def _enqueue(self, owned_target: Books, sender: str, message: SlotRequest, now: float) -> None:
+    def _enqueue(
+        self, owned_target: OwnedTarget, sender: str, message: SlotRequest, now: float
+    ) -> None:
         """Queue a request, or refuse it at once if it is not expected to get a slot in time."""
         if message.max_wait <= 0:
             self._refuse(sender, message, REFUSAL_FULL)
@@ -177,18 +179,20 @@
         expected_wait = self._estimate_wait(owned_target, message, now)
         if expected_wait > message.max_wait:
             self._refuse(
-                sender, message, REFUSAL_WAIT, retry_after=expected_wait - message.max_wait
+                sender, message, REFUSAL_WAIT_TOO_LONG, retry_after=expected_wait - message.max_wait
             )
             return
         evicted = owned_target.queue.add(Waiter(message, sender, now, now + message.max_wait))
         if evicted is not None:
-            self._refuse(evicted.sender, evicted.request, REFUSAL_QUEUE, retry_after=expected_wait)
+            self._refuse(
+                evicted.sender, evicted.request, REFUSAL_QUEUE_FULL, retry_after=expected_wait
+            )
         if evicted is None or evicted.request is not message:
             self._context.count(codes.SLOTS_QUEUED)
             deadline = now + message.max_wait
             self._context.set_timer(deadline, lambda at: self._expire_waiters(owned_target, at))
 
-    def _estimate_wait(self, owned_target: Books, message: SlotRequest, now: float) -> float:
+    def _estimate_wait(self, owned_target: OwnedTarget, message: SlotRequest, now: float) -> float:
         """Estimate the wait of a new request in seconds from the queue and the mean duration.
 
         Without the estimate a request that cannot be served in time would stay queued until its
@@ -208,14 +212,16 @@
             min(slot_interval, owned_target.estimate_first_completion(now)) + ahead * slot_interval
         )
 
-    def _has_capacity(self, owned_target: Books, suspect: bool) -> bool:
+    def _has_capacity(self, owned_target: OwnedTarget, suspect: bool) -> bool:
         if suspect and owned_target.has_suspect():
             return False
         if not owned_target.probation.can_grant():
             return False
         return owned_target.count_load() < self._registry.compute_limit(owned_target)
 
-    def _grant(self, owned_target: Books, sender: str, message: SlotRequest, now: float) -> None:
+    def _grant(
+        self, owned_target: OwnedTarget, sender: str, message: SlotRequest, now: float
+    ) -> None:
         slot = Slot(
             message.attempt,
             message.instance,
@@ -241,7 +247,7 @@
         )
 
     def _log_slot_event(
-        self, event: str, owned_target: Books, attempt: str, **details: str
+        self, event: str, owned_target: OwnedTarget, attempt: str, **details: str
     ) -> None:
         """Log a decision on a slot together with the owner's state of the target at that time."""
         self._context.log(
@@ -302,9 +308,9 @@
         self.serve_queue(owned_target, now)
 
     def _record_completion(
-        self, owned_target: Books, slot: Slot, message: SlotRelease, now: float
+        self, owned_target: OwnedTarget, slot: Slot, message: SlotRelease, now: float
     ) -> None:
-        if slot.since >= owned_target.slow_start.started_at:
+        if slot.granted_at >= owned_target.slow_start.started_at:
             # Requests granted before the cold start do not show how much the target can serve now.
             owned_target.slow_start.record_completion()
         service = self._registry.find_service(owned_target)
@@ -314,9 +320,9 @@
         if slow and owned_target.slow_start.has_grown:
             self._registry.mark_cold(owned_target, "latency", now)
 
-    def _expire_waiters(self, owned_target: Books, now: float) -> None:
+    def _expire_waiters(self, owned_target: OwnedTarget, now: float) -> None:
         for waiter in owned_target.queue.remove_expired(now):
-            self._refuse(waiter.sender, waiter.request, REFUSAL_WAIT)
+            self._refuse(waiter.sender, waiter.request, REFUSAL_WAIT_TOO_LONG)
 
     def _handle_renewal(self, sender: str, message: SlotRenewal, now: float) -> None:
         """Reconcile the slots of a target with those that a holder reports as held.
@@ -333,7 +339,7 @@
             self.register_slot(owned_target, held, message.instance, message.incarnation, now)
         for slot in list(owned_target.slots.values()):
             is_lost = slot.holder == message.instance and slot.attempt not in held_attempts
-            if is_lost and now - slot.since > RENEWAL_GRACE_S:
+            if is_lost and now - slot.granted_at > RENEWAL_GRACE_S:
                 self._registry.mark_in_doubt(owned_target, slot, now)
         self._registry.update_view(owned_target, now)
         self.serve_queue(owned_target, now)
--- a/rhubarbbend/core/owners/_books.py
+++ b/rhubarbbend/core/owners/_owned_target.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core.configuration import Service
 from rhubarbbend.core.messages import HeldSlot, SlotRelease
 from rhubarbbend.core.owners._queue import FairQueue
-from rhubarbbend.core.owners._ramp import Probation, SlowStart
+from rhubarbbend.core.owners._slow_start import Probation, SlowStart
 
 # A target is taken as cold after CONSECUTIVE_SLOW_LIMIT first bytes in a row that each took more
 # than SLOW_FACTOR times the expected time plus SLOW_MARGIN_S.
@@ -28,14 +28,14 @@
 
 @attrs.define(slots=True)
 class Slot:
-    """A granted slot; `since` is the time of the grant, `renewed` that of the last confirmation."""
+    """A slot, granted at `granted_at` and last confirmed at `renewed_at`."""
 
     attempt: str
     holder: str
     incarnation: int
     account: str
-    since: float
-    renewed: float
+    granted_at: float
+    renewed_at: float
     suspect: bool
 
 
@@ -75,7 +75,7 @@
         return self._consecutive_failures >= CONSECUTIVE_FAILURE_LIMIT
 
 
-class Books:
+class OwnedTarget:
     """The owner's state of one target.
 
     Invariants: `slots` holds every grant that has not been released. `in_doubt` maps attempts that
@@ -136,7 +136,7 @@
         """Add a slot that another owner granted, or renew it; return whether it was unknown."""
         slot = self.slots.get(held.attempt)
         if slot is not None:
-            slot.renewed = now
+            slot.renewed_at = now
             return False
         if self.in_doubt.pop(held.attempt, None) is None:
             # Reports showed this request as foreign load; it must not be counted twice.
@@ -162,7 +162,7 @@
         self.probation.record_release(message.attempt)
         if slot is not None:
             if message.completed:
-                self._record_duration(now - slot.since)
+                self._record_duration(now - slot.granted_at)
             self.record_slot_count(now)
         return slot
 
@@ -177,7 +177,7 @@
         """Record the current number of slots, for comparison with reports that arrive later."""
         self._slot_samples.append((now, len(self.slots)))
 
-    def take_report(self, running: int, age: float, now: float) -> None:
+    def record_report(self, running: int, age: float, now: float) -> None:
         """Update the foreign load from a load report.
 
         `running` is the number of requests that the target ran, `age` the seconds since the report
@@ -205,7 +205,7 @@
 
         The estimate is the mean duration minus the time that this request has run, and at least 0.
         """
-        longest = max((now - slot.since for slot in self.slots.values()), default=0.0)
+        longest = max((now - slot.granted_at for slot in self.slots.values()), default=0.0)
         return max(0.0, self.mean_duration - longest)
 
     def _find_slot_count(self, at: float) -> int:
--- a/rhubarbbend/core/owners/_owner.py
+++ b/rhubarbbend/core/owners/_owner.py
@@ -22,10 +22,10 @@
     SlotRenewal,
     TargetLoad,
 )
-from rhubarbbend.core.owners._books import Books
 from rhubarbbend.core.owners._grants import REFUSAL_NOT_OWNER, REFUSAL_NOT_READY, SlotGranter
-from rhubarbbend.core.owners._ledger import OwnedTargetRegistry
-from rhubarbbend.core.owners._ramp import Probation
+from rhubarbbend.core.owners._owned_target import OwnedTarget
+from rhubarbbend.core.owners._registry import OwnedTargetRegistry
+from rhubarbbend.core.owners._slow_start import Probation
 
 STATE_LOADING: Final = "loading"
 STATE_LEAVING: Final = "leaving"
@@ -36,7 +36,7 @@
 PAUSE_FRACTION: Final = 0.5
 
 
-class OwnerDuty:
+class OwnershipCoordinator:
     """Owns targets. Invariant: the registry holds exactly the owned targets."""
 
     def __init__(self, context: Context) -> None:
@@ -44,7 +44,7 @@
         self._registry = OwnedTargetRegistry(context)
         self._granter = SlotGranter(context, self._registry)
 
-    def list_events(self) -> dict[type[events.Event], EventHandler]:
+    def get_event_handlers(self) -> dict[type[events.Event], EventHandler]:
         """Return the handlers of start, load reports, process pauses and lost peers."""
         return {
             events.Started: self._handle_start,
@@ -54,10 +54,10 @@
             events.PeerLost: self._handle_peer_lost,
         }
 
-    def list_messages(self) -> dict[type[Message], EventHandler]:
+    def get_message_handlers(self) -> dict[type[Message], EventHandler]:
         """Return the handlers of slot messages and of the handover by a former owner."""
         return {
-            **self._granter.list_messages(),
+            **self._granter.get_message_handlers(),
             Handover: self._handle_handover,
         }
 
@@ -68,7 +68,7 @@
             for owned_target in self._registry.owned_targets.values()
         ]
 
-    def list_figures(self, service_name: str) -> list[LoadFigure]:
+    def list_load_figures(self, service_name: str) -> list[LoadFigure]:
         """Return the load figures of the owned targets of a service."""
         targets = self._context.fleet.targets
         return [
@@ -86,7 +86,7 @@
         """Return whether this instance regards itself as the owner of a target."""
         return target in self._registry.owned_targets
 
-    def free_holder(self, holder: str, incarnation: int, now: float) -> None:
+    def expire_holder_slots(self, holder: str, incarnation: int, now: float) -> None:
         """Mark the slots of an instance's incarnations before the given one as in doubt."""
         self._registry.expire_holder_slots(holder, incarnation, now)
 
@@ -116,7 +116,7 @@
         if self._context.fleet.find_owner(view) != self._context.identity.instance:
             return False
         is_own_zone = view.zone == self._context.identity.zone
-        return is_own_zone or not self._context.is_out_of_touch(now)
+        return is_own_zone or not self._context.may_have_missed_changes(now)
 
     def hand_over_all(self, now: float) -> None:
         """Hand every owned target over to its next owner; part of a planned stop."""
@@ -131,7 +131,7 @@
         service = self._context.configuration.services.get(view.service_name)
         if service is None:
             return
-        owned_target = self._registry.owned_targets[view.id] = Books(view.id, service, now)
+        owned_target = self._registry.owned_targets[view.id] = OwnedTarget(view.id, service, now)
         owned_target.boot_id = view.boot_id
         # The former owner's readiness holds until the first report. If the target were announced as
         # not ready meanwhile, every instance of the zone would skip a healthy target.
@@ -153,14 +153,14 @@
             # From now on the load sum of the target's own zone covers it.
             view.updated = -1.0
             view.ready = False
-            fleet.note_target(view, self._context.configuration)
+            fleet.update_load_sums(view, self._context.configuration)
         self._granter.refuse_waiters(owned_target, REFUSAL_NOT_OWNER, owner)
         if owner and owner != self._context.identity.instance:
             self._context.count(codes.HANDOVERS)
             self._context.log("target_handed_over", target=target, owner=owner)
             self._context.send(owner, self._make_handover(owned_target))
 
-    def _make_handover(self, owned_target: Books) -> Handover:
+    def _make_handover(self, owned_target: OwnedTarget) -> Handover:
         by_holder: dict[tuple[str, int], list[HeldSlot]] = {}
         for slot in owned_target.slots.values():
             held = HeldSlot(attempt=slot.attempt, account=slot.account, suspect=slot.suspect)
@@ -218,7 +218,7 @@
                 owned_target.slow_start.raise_limit_to(event.running)
             owned_target.boot_id = event.boot_id
         owned_target.reported_limit = event.slots
-        owned_target.take_report(event.running, event.age, now)
+        owned_target.record_report(event.running, event.age, now)
         was_ready = owned_target.ready
         owned_target.ready = event.state not in (STATE_LOADING, STATE_LEAVING)
         view.models = event.models
--- a/rhubarbbend/core/owners/_queue.py
+++ b/rhubarbbend/core/owners/_queue.py
@@ -14,14 +14,15 @@
 class Waiter:
     """A queued slot request.
 
-    `since` and `deadline` are in local time; `gone` marks a request that has left the queue.
+    `queued_at` and `deadline` are in local time; `is_removed` marks a request that has left the
+    queue.
     """
 
     request: SlotRequest
     sender: str
-    since: float
+    queued_at: float
     deadline: float
-    gone: bool = False
+    is_removed: bool = False
 
 
 class FairQueue:
@@ -156,7 +157,7 @@
         if largest == account or self._counts[largest] / self._weights[largest] <= own_share:
             return None
         waiters = self._waiters[largest]
-        while waiters[-1].gone:
+        while waiters[-1].is_removed:
             waiters.pop()
         newest = waiters[-1]
         self._discard(newest)
@@ -164,16 +165,16 @@
 
     def _find_first(self, account: str, skip_suspects: bool) -> Waiter | None:
         waiters = self._waiters[account]
-        while waiters and waiters[0].gone:
+        while waiters and waiters[0].is_removed:
             waiters.popleft()
         for waiter in waiters:
-            if not waiter.gone and not (skip_suspects and waiter.request.suspect):
+            if not waiter.is_removed and not (skip_suspects and waiter.request.suspect):
                 return waiter
         return None
 
     def _discard(self, waiter: Waiter) -> None:
         account = waiter.request.account
-        waiter.gone = True
+        waiter.is_removed = True
         del self._by_attempt[waiter.request.attempt]
         self._counts[account] -= 1
         if not self._counts[account]:
--- a/rhubarbbend/core/owners/_ledger.py
+++ b/rhubarbbend/core/owners/_registry.py
@@ -6,8 +6,8 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core.configuration import Service
 from rhubarbbend.core.messages import TargetLoad
-from rhubarbbend.core.owners._books import Books, ColdDetector, Slot
-from rhubarbbend.core.owners._ramp import SlowStart
+from rhubarbbend.core.owners._owned_target import ColdDetector, OwnedTarget, Slot
+from rhubarbbend.core.owners._slow_start import SlowStart
 
 
 class OwnedTargetRegistry:
@@ -15,20 +15,20 @@
 
     def __init__(self, context: Context) -> None:
         self._context = context
-        self.owned_targets: dict[str, Books] = {}
+        self.owned_targets: dict[str, OwnedTarget] = {}
 
-    def find(self, target: str) -> Books | None:
+    def find(self, target: str) -> OwnedTarget | None:
         """Return the state of a target, or None if this instance does not own it."""
         return self.owned_targets.get(target)
 
-    def find_service(self, owned_target: Books) -> Service | None:
+    def find_service(self, owned_target: OwnedTarget) -> Service | None:
         """Return the declaration of the target's service, or None if it is not known."""
         view = self._context.fleet.targets.get(owned_target.target)
         if view is None:
             return None
         return self._context.configuration.services.get(view.service_name)
 
-    def compute_limit(self, owned_target: Books) -> int:
+    def compute_limit(self, owned_target: OwnedTarget) -> int:
         """Return the maximum load in requests that a target may have.
 
         It is the smallest of the service's load bound, the target's reported limit and the limit of
@@ -37,15 +37,15 @@
         service = self.find_service(owned_target)
         if service is None:
             return 0
-        total_load, target_count = self._context.fleet.compute_mean(
+        total_load, target_count = self._context.fleet.compute_total_load(
             service, self._context.configuration
         )
-        if not self._context.fleet.is_counted(owned_target.target):
+        if not self._context.fleet.is_in_load_sums(owned_target.target):
             total_load += owned_target.count_load()
             target_count += 1
         return owned_target.compute_limit(service, total_load, target_count)
 
-    def update_view(self, owned_target: Books, now: float) -> None:
+    def update_view(self, owned_target: OwnedTarget, now: float) -> None:
         """Update the fleet's view of a target; called after each change of the target's state."""
         owned_target.record_slot_count(now)
         view = self._context.fleet.targets.get(owned_target.target)
@@ -56,10 +56,10 @@
         view.boot_id = owned_target.boot_id
         view.cold = owned_target.slow_start.is_cold
         view.updated = now
-        self._context.fleet.note_target(view, self._context.configuration)
+        self._context.fleet.update_load_sums(view, self._context.configuration)
         view.limit = self.compute_limit(owned_target)
 
-    def make_target_load(self, owned_target: Books) -> TargetLoad:
+    def make_target_load(self, owned_target: OwnedTarget) -> TargetLoad:
         """Return the load message of a target for the other instances of the zone."""
         view = self._context.fleet.targets.get(owned_target.target)
         return TargetLoad(
@@ -73,7 +73,7 @@
             models=[] if view is None else view.models,
         )
 
-    def mark_in_doubt(self, owned_target: Books, slot: Slot, now: float) -> None:
+    def mark_in_doubt(self, owned_target: OwnedTarget, slot: Slot, now: float) -> None:
         """Release a slot that its holder no longer confirms; keep its attempt in doubt."""
         owned_target.mark_in_doubt(slot, now)
         self._context.count(codes.SLOTS_EXPIRED)
@@ -81,7 +81,7 @@
             "slot_in_doubt", target=owned_target.target, attempt=slot.attempt, holder=slot.holder
         )
 
-    def mark_cold(self, owned_target: Books, cause: str, now: float) -> None:
+    def mark_cold(self, owned_target: OwnedTarget, cause: str, now: float) -> None:
         """Mark a target as cold: restart its slow start."""
         service = self.find_service(owned_target)
         if service is None:
--- a/rhubarbbend/core/placement/__init__.py
+++ b/rhubarbbend/core/placement/__init__.py
@@ -4,45 +4,45 @@
 report, the load reports of targets, and the targets' recent responses.
 """
 
-from rhubarbbend.core.placement._health import HealthBook
+from rhubarbbend.core.placement._health import HealthTracker
 from rhubarbbend.core.placement._in_flight import (
-    NUMBERS,
-    InFlight,
-    Scope,
-    Teller,
-    can_be,
-    compute_tag,
+    SEQUENCE_MODULUS,
+    CountScope,
+    InFlightPublisher,
+    InFlightUpdate,
+    compute_target_hash,
+    is_plausible,
 )
-from rhubarbbend.core.placement._loads import LoadBook, TargetLoad
+from rhubarbbend.core.placement._loads import LoadTracker, TargetLoad
 from rhubarbbend.core.placement._placement import (
     Choice,
     Placement,
     PlacementOptions,
     Reason,
-    compute_most_open,
+    compute_max_connections,
 )
-from rhubarbbend.core.placement._places import Place, PromptLocationTracker
+from rhubarbbend.core.placement._prompt_locations import PromptLocation, PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt, PromptPart
 from rhubarbbend.core.placement._sources import SourceOptions
 
 __all__ = [
-    "NUMBERS",
+    "SEQUENCE_MODULUS",
     "Choice",
-    "HealthBook",
-    "InFlight",
-    "LoadBook",
-    "Place",
+    "HealthTracker",
+    "InFlightUpdate",
+    "LoadTracker",
+    "PromptLocation",
     "Placement",
     "PlacementOptions",
     "Prompt",
     "PromptLocationTracker",
     "PromptPart",
     "Reason",
-    "Scope",
+    "CountScope",
     "SourceOptions",
     "TargetLoad",
-    "Teller",
-    "can_be",
-    "compute_most_open",
-    "compute_tag",
+    "InFlightPublisher",
+    "is_plausible",
+    "compute_max_connections",
+    "compute_target_hash",
 ]
--- a/rhubarbbend/core/placement/_health.py
+++ b/rhubarbbend/core/placement/_health.py
@@ -83,7 +83,7 @@
         self.timed_out_at = None
 
 
-class HealthBook:
+class HealthTracker:
     """Judges targets by the responses to callers' requests, without health check probes."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
         # The last connect timeout (target and time) since any target responded or was connected.
         self._last_timeout: tuple[str, float] | None = None
 
-    def note_answer(self, target: str, failed: bool, now: float) -> None:
+    def record_response(self, target: str, failed: bool, now: float) -> None:
         """Record a response, or a request that failed without one."""
         record = self._get_or_create(target, now)
         record.decay(now)
@@ -103,7 +103,7 @@
             record.mark_reachable()
             self._last_timeout = None
 
-    def note_timeout(self, target: str, now: float) -> float:
+    def record_connect_timeout(self, target: str, now: float) -> float:
         """Record a connect timeout and return when the target's backoff ends."""
         record = self._get_or_create(target, now)
         previous, record.timed_out_at = record.timed_out_at, now
@@ -111,7 +111,7 @@
         is_repeated = previous is not None and now - previous <= REPEATED_TIMEOUT_WINDOW_S
         follows_any = last is not None and now - last[1] <= REPEATED_TIMEOUT_WINDOW_S
         if is_repeated or follows_any or record.unreachable_since is not None:
-            return self.note_unreachable(target, now)
+            return self.record_unreachable(target, now)
         return record.backoff_until
 
     def begin_trial(self, target: str, now: float) -> bool:
@@ -120,12 +120,12 @@
         Until the trial times out or the connection is made, no other request is sent there. Return
         False if the target is not unreachable and needs no trial.
         """
-        if not self.is_lost(target):
+        if not self.is_unreachable(target):
             return False
         self._records[target].trial_until = now + TRIAL_TIMEOUT_S
         return True
 
-    def note_connected(self, target: str, now: float) -> None:
+    def record_connected(self, target: str, now: float) -> None:
         """Record that a target has accepted a connection, which makes it reachable."""
         self._last_timeout = None
         record = self._records.get(target)
@@ -133,7 +133,7 @@
             record.last_contact_at = now
             record.mark_reachable()
 
-    def suspect_zone(self, targets: list[str], now: float) -> list[str]:
+    def mark_zone_suspect(self, targets: list[str], now: float) -> list[str]:
         """Mark targets of a zone as unreachable after another target there became unreachable.
 
         Targets with a recent contact are left out. Return the targets that were marked.
@@ -151,16 +151,16 @@
                 suspected.append(target)
         return suspected
 
-    def is_lost(self, target: str) -> bool:
+    def is_unreachable(self, target: str) -> bool:
         """Whether a target has accepted no connection since one failed."""
         record = self._records.get(target)
         return record is not None and record.unreachable_since is not None
 
-    def list_lost(self) -> set[str]:
+    def list_unreachable(self) -> set[str]:
         """Return the targets that have accepted no connection since one failed."""
-        return {target for target in self._records if self.is_lost(target)}
+        return {target for target in self._records if self.is_unreachable(target)}
 
-    def note_unreachable(self, target: str, now: float) -> float:
+    def record_unreachable(self, target: str, now: float) -> float:
         """Record that a target is unreachable and return when its backoff ends."""
         record = self._get_or_create(target, now)
         if record.unreachable_since is None:
@@ -171,7 +171,7 @@
         record.trial_until = 0.0
         return record.backoff_until
 
-    def count_lost_since(self, at: float) -> int:
+    def count_unreachable_since(self, at: float) -> int:
         """Count the unreachable targets that became so at `at` or later."""
         records = self._records.values()
         return sum(r.unreachable_since is not None and r.unreachable_since >= at for r in records)
--- a/rhubarbbend/core/placement/_in_flight.py
+++ b/rhubarbbend/core/placement/_in_flight.py
@@ -35,10 +35,10 @@
 MAX_INSTANCES_FACTOR: Final = 4
 # Sequence numbers of messages wrap around at this value. Of two messages, the later one is ahead by
 # less than half of it.
-NUMBERS: Final = 2**32
+SEQUENCE_MODULUS: Final = 2**32
 
 
-def compute_tag(target: str) -> int:
+def compute_target_hash(target: str) -> int:
     """Return the hash that identifies a target in messages; it is shorter than the target's id.
 
     Among a thousand targets, two have the same hash with a probability of 1 in 9,000; their counts
@@ -47,31 +47,31 @@
     return zlib.crc32(target.encode())
 
 
-class Scope(enum.Enum):
+class CountScope(enum.Enum):
     """Whose requests are counted."""
 
     # Those of the sender and of the instances that it relays for.
-    PART = "part"
+    SENDER_GROUP = "part"
     # Those of all instances except the receiver.
-    REST = "rest"
+    ALL_EXCEPT_RECEIVER = "rest"
 
 
-class InFlight(msgspec.Struct, frozen=True, array_like=True):
-    """A message with the in-flight requests of `instances` instances, by tag of their target.
+class InFlightUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """A message with the in-flight requests of `instances` instances, by hash of their target.
 
     `is_snapshot`: targets that are not named have no requests; otherwise the message holds only
     the counts that changed. `sequence` grows with each message of a sender, from any first value.
     """
 
     sender: str
-    scope: Scope
+    scope: CountScope
     instances: int
     is_snapshot: bool
     counts: dict[int, int]
     sequence: int
 
 
-def can_be(update: InFlight, instances: int, max_requests: int | None) -> bool:
+def is_plausible(update: InFlightUpdate, instances: int, max_requests: int | None) -> bool:
     """Whether the counts in a message are plausible.
 
     `instances` is the number of instances of the fleet, `max_requests` the number of requests that
@@ -85,7 +85,7 @@
 
 def is_later(sequence: int, than: int) -> bool:
     """Whether a message's sequence number comes after another's."""
-    return 0 < (sequence - than) % NUMBERS < NUMBERS // 2
+    return 0 < (sequence - than) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2
 
 
 class _SenderCounts:
@@ -103,20 +103,20 @@
         """Whether the counts are recent enough to be used."""
         return now - self.received_at < COUNTS_TTL_S
 
-    def apply(self, update: InFlight, now: float) -> None:
+    def apply(self, update: InFlightUpdate, now: float) -> None:
         """Apply the snapshot or the changes of a message."""
         if update.is_snapshot:
             self.counts = {}
-        for tag, count in update.counts.items():
+        for target_hash, count in update.counts.items():
             if count > 0:
-                self.counts[tag] = count
+                self.counts[target_hash] = count
             else:
-                self.counts.pop(tag, None)
+                self.counts.pop(target_hash, None)
         self.instances = update.instances
         self.sequence = update.sequence
         self.received_at = now
 
-    def is_outdated(self, update: InFlight, now: float) -> bool:
+    def is_outdated(self, update: InFlightUpdate, now: float) -> bool:
         """Whether a message is not newer than the last one: it was reordered or sent again."""
         return self.is_fresh(now) and not is_later(update.sequence, self.sequence)
 
@@ -137,10 +137,10 @@
         # No counts in `_by_sender` expire before this time.
         self._next_expiry = math.inf
 
-    def record_update(self, update: InFlight, now: float) -> None:
+    def record_update(self, update: InFlightUpdate, now: float) -> None:
         """Apply a message of another instance; ignore changes from a sender without a snapshot."""
         self._expire_silent_senders(now)
-        if update.scope is Scope.REST:
+        if update.scope is CountScope.ALL_EXCEPT_RECEIVER:
             self._record_relayed(update, now)
             return
         known = self._by_sender.get(update.sender)
@@ -156,7 +156,7 @@
         self._instances += known.instances
         self._next_expiry = min(self._next_expiry, now + COUNTS_TTL_S)
 
-    def _record_relayed(self, update: InFlight, now: float) -> None:
+    def _record_relayed(self, update: InFlightUpdate, now: float) -> None:
         is_known = update.sender == self._relayed_by
         if self._relayed.is_outdated(update, now) if is_known else not update.is_snapshot:
             return
@@ -165,11 +165,11 @@
 
     def count(self, target: str, now: float) -> int:
         """Return the number of requests that the other instances have at a target."""
-        tag = compute_tag(target)
+        target_hash = compute_target_hash(target)
         if self._relayed.is_fresh(now):
-            return self._relayed.counts.get(tag, 0)
+            return self._relayed.counts.get(target_hash, 0)
         self._expire_silent_senders(now)
-        return self._total.get(tag, 0)
+        return self._total.get(target_hash, 0)
 
     def count_instances(self, now: float) -> int:
         """Return the number of other instances whose requests are known."""
@@ -195,10 +195,10 @@
 
     def _subtract(self, known: _SenderCounts) -> None:
         self._instances -= known.instances
-        for tag, count in known.counts.items():
-            self._total[tag] -= count
-            if not self._total[tag]:
-                del self._total[tag]
+        for target_hash, count in known.counts.items():
+            self._total[target_hash] -= count
+            if not self._total[target_hash]:
+                del self._total[target_hash]
 
     def _expire_silent_senders(self, now: float) -> None:
         if now < self._next_expiry:
@@ -209,7 +209,7 @@
         self._next_expiry = oldest + COUNTS_TTL_S
 
 
-class Teller:
+class InFlightPublisher:
     """Prepares the messages to each receiver: snapshots, and in between the changes.
 
     Invariant: changes are relative to what the receiver was sent before. `first_sequence` is the
@@ -223,9 +223,14 @@
         # The counts that each receiver was last sent, and when it was last sent a snapshot.
         self._sent: dict[str, tuple[dict[int, int], float]] = {}
 
-    def prepare(
-        self, receiver: str, scope: Scope, counts: Mapping[int, int], instances: int, now: float
-    ) -> InFlight | None:
+    def prepare_update(
+        self,
+        receiver: str,
+        scope: CountScope,
+        counts: Mapping[int, int],
+        instances: int,
+        now: float,
+    ) -> InFlightUpdate | None:
         """Return the message to send to a receiver now; None if nothing has changed for it."""
         sent, snapshot_at = self._sent.get(receiver, ({}, -SNAPSHOT_INTERVAL_S))
         if now - snapshot_at >= SNAPSHOT_INTERVAL_S:
@@ -239,11 +244,11 @@
         return self._make_update(scope, instances, False, changed)
 
     def _make_update(
-        self, scope: Scope, instances: int, is_snapshot: bool, counts: dict[int, int]
-    ) -> InFlight:
-        self._sequence = (self._sequence + 1) % NUMBERS
-        return InFlight(self._sender, scope, instances, is_snapshot, counts, self._sequence)
+        self, scope: CountScope, instances: int, is_snapshot: bool, counts: dict[int, int]
+    ) -> InFlightUpdate:
+        self._sequence = (self._sequence + 1) % SEQUENCE_MODULUS
+        return InFlightUpdate(self._sender, scope, instances, is_snapshot, counts, self._sequence)
 
-    def keep_only(self, receivers: Collection[str]) -> None:
+    def retain_receivers(self, receivers: Collection[str]) -> None:
         """Drop the state of all receivers except these."""
         self._sent = {r: sent for r, sent in self._sent.items() if r in receivers}
--- a/rhubarbbend/core/placement/_loads.py
+++ b/rhubarbbend/core/placement/_loads.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rhubarbbend.core.placement._in_flight import InFlight, PeerCountTracker
+from rhubarbbend.core.placement._in_flight import InFlightUpdate, PeerCountTracker
 
 # The weight of a target's load report falls linearly to 0 over this time: most of the requests that
 # it counted have ended by then.
@@ -25,20 +25,21 @@
 class LoadReport(msgspec.Struct, frozen=True):
     """A target's report of the requests that run and wait there.
 
-    Of the `held` requests, `own` were this instance's, and `told` were counted in the messages of
-    other instances. The target made the report at `at`; this instance received it at `heard_at`.
-    `is_relayed` if it was relayed by another instance and need not be sent on to all others.
+    Of the `held` requests, `own` were this instance's, and `counted_by_peers` were counted in the
+    messages of other instances. The target made the report at `at`; this instance received it at
+    `received_at`. `is_relayed` if it was relayed by another instance and need not be sent on to all
+    others.
     """
 
     held: int
     own: int
-    told: int
+    counted_by_peers: int
     at: float
-    heard_at: float
+    received_at: float
     is_relayed: bool = False
 
 
-class LoadBook:
+class LoadTracker:
     """Tracks the load of targets, without health check probes.
 
     It combines this instance's in-flight requests, the counts that other instances send, and the
@@ -50,55 +51,57 @@
     def __init__(self) -> None:
         self._own: dict[str, int] = {}
         self._reports: dict[str, LoadReport] = {}
-        self.others = PeerCountTracker()
+        self.peer_counts = PeerCountTracker()
         # The number of other instances; None while that is unknown.
-        self.expected: int | None = None
+        self.expected_peers: int | None = None
         # Called when a count of this instance's requests changes; set by the gateway.
-        self.on_change: Callable[[], None] = lambda: None
+        self.on_own_change: Callable[[], None] = lambda: None
 
-    def begin(self, target: str) -> None:
+    def record_start(self, target: str) -> None:
         """Record that a request is being sent to a target."""
         self._own[target] = self._own.get(target, 0) + 1
-        self.on_change()
+        self.on_own_change()
 
-    def end(self, target: str) -> None:
+    def record_end(self, target: str) -> None:
         """Record that a request to a target has ended."""
         left = self._own.get(target, 0) - 1
         if left > 0:
             self._own[target] = left
         else:
             self._own.pop(target, None)
-        self.on_change()
+        self.on_own_change()
 
-    def list_own(self) -> dict[str, int]:
+    def get_own_counts(self) -> dict[str, int]:
         """Return the number of requests that this instance has at each target."""
         return dict(self._own)
 
-    def hear_instance(self, update: InFlight, now: float) -> None:
+    def record_peer_update(self, update: InFlightUpdate, now: float) -> None:
         """Record the in-flight requests in a message of another instance."""
-        self.others.record_update(update, now)
+        self.peer_counts.record_update(update, now)
 
     def count_own(self, target: str) -> int:
         """Return the number of requests that this instance has at a target."""
         return self._own.get(target, 0)
 
-    def take_report(self, target: str, held: int, now: float) -> None:
+    def record_report(self, target: str, held: int, now: float) -> None:
         """Record the load report in a target's response."""
-        counted = self.others.count(target, now)
+        counted = self.peer_counts.count(target, now)
         self._reports[target] = LoadReport(held, self.count_own(target), counted, now, now)
 
-    def hear(self, loads: Iterable[TargetLoad], is_relayed: bool, now: float) -> None:
+    def merge_reports(self, loads: Iterable[TargetLoad], is_relayed: bool, now: float) -> None:
         """Record load reports that other instances received, if newer than the known ones."""
         for load in loads:
             at = now - load.age
             known = self._reports.get(load.target)
             if known is None or known.at < at:
                 own = self.count_own(load.target)
-                counted = self.others.count(load.target, now)
+                counted = self.peer_counts.count(load.target, now)
                 report = LoadReport(load.held, own, counted, at, now, is_relayed)
                 self._reports[load.target] = report
 
-    def list_since(self, heard_after: float, with_relayed: bool, now: float) -> list[TargetLoad]:
+    def list_reports_since(
+        self, heard_after: float, with_relayed: bool, now: float
+    ) -> list[TargetLoad]:
         """Return the reports that were received after a time and have not expired.
 
         Relayed reports are included only if `with_relayed`.
@@ -106,7 +109,7 @@
         return [
             TargetLoad(target, report.held, round(now - report.at, 3))
             for target, report in self._reports.items()
-            if report.heard_at > heard_after
+            if report.received_at > heard_after
             and now - report.at < REPORT_TTL_S
             and (with_relayed or not report.is_relayed)
         ]
@@ -116,11 +119,11 @@
 
         `has_peer_counts`: whether instances send one another their counts for such a target.
         """
-        known = self.count_own(target) + self.others.count(target, now)
+        known = self.count_own(target) + self.peer_counts.count(target, now)
         report = self._reports.get(target)
         if report is None or (has_peer_counts and self.has_counts_of_all_peers(now)):
             return float(known)
-        unknown = max(0, report.held - report.own - report.told)
+        unknown = max(0, report.held - report.own - report.counted_by_peers)
         freshness = max(0.0, 1.0 - (now - report.at) / REPORT_TTL_S)
         return known + unknown * freshness
 
@@ -130,9 +133,9 @@
 
     def has_counts_of_fraction(self, fraction: float, now: float) -> bool:
         """Whether the in-flight requests of at least a fraction of the others are known."""
-        if self.expected is None:
+        if self.expected_peers is None:
             return False
-        return self.others.count_instances(now) >= fraction * self.expected
+        return self.peer_counts.count_instances(now) >= fraction * self.expected_peers
 
     def compute_report_age(self, target: str, now: float) -> float | None:
         """Return the age of a target's load report in seconds; None without a report."""
--- a/rhubarbbend/core/placement/_placement.py
+++ b/rhubarbbend/core/placement/_placement.py
@@ -19,16 +19,16 @@
 
 from rhubarbbend.core._rendezvous import rank_names
 from rhubarbbend.core.catalog import Service
-from rhubarbbend.core.directory import Directory, Target
-from rhubarbbend.core.placement._health import HealthBook
-from rhubarbbend.core.placement._loads import LoadBook
+from rhubarbbend.core.directory import Target, TargetRegistry
+from rhubarbbend.core.placement._health import HealthTracker
+from rhubarbbend.core.placement._loads import LoadTracker
 from rhubarbbend.core.placement._overload import (
     BOUND_SLACK,
     PROPAGATION_TIME_S,
     Headroom,
     RequestRate,
 )
-from rhubarbbend.core.placement._places import PromptLocationTracker
+from rhubarbbend.core.placement._prompt_locations import PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt
 from rhubarbbend.core.placement._sources import SourceFinder, SourceOptions
 from rhubarbbend.core.shares import ColdAllowance
@@ -100,7 +100,7 @@
     source: Target | None = None
 
 
-def compute_most_open(service: Service, instances: int) -> int:
+def compute_max_connections(service: Service, instances: int) -> int:
     """Return the number of requests that one of `instances` may have at a target of a service."""
     share = service.max_connections * CONNECTION_FRACTION / max(1, instances)
     return max(MIN_CONNECTIONS, int(share))
@@ -130,21 +130,23 @@
     def __init__(
         self,
         options: PlacementOptions,
-        directory: Directory,
-        loads: LoadBook,
-        health: HealthBook,
+        registry: TargetRegistry,
+        loads: LoadTracker,
+        health: HealthTracker,
         cold: ColdAllowance,
     ) -> None:
         self._options = options
-        self._directory = directory
+        self._registry = registry
         self._loads = loads
         self._health = health
         self._cold = cold
-        self.places = PromptLocationTracker()
-        self._sources = SourceFinder(options.sources, directory, loads, health, self.places)
+        self.prompt_locations = PromptLocationTracker()
+        self._sources = SourceFinder(
+            options.sources, registry, loads, health, self.prompt_locations
+        )
         self._rates: dict[str, RequestRate] = {}
         # For the log of a rejection: the number of targets rejected at the last choice, by reason.
-        self.last_shut: dict[str, int] = {}
+        self.last_rejections: dict[str, int] = {}
 
     def set_options(self, options: PlacementOptions) -> None:
         """Replace the options."""
@@ -179,11 +181,11 @@
             return self._choose_by_load(candidates, random, now)
         return self._choose_by_prompt(candidates, service, prompt, headroom, random, now)
 
-    def note_chosen(self, target: Target, now: float) -> None:
+    def record_chosen(self, target: Target, now: float) -> None:
         """Record that a request is about to be sent to a target."""
         self._cold.note_sent(target.id, now)
 
-    def note_sent(
+    def record_sent(
         self, choice: Choice, prompt: Prompt | None, chosen_at: float, now: float
     ) -> None:
         """Record that a request was sent at `now` to the target chosen for it at `chosen_at`."""
@@ -194,9 +196,9 @@
             known = self._sources.list_holders(prompt, now)
             is_moved = choice.reason is not Reason.HOME or choice.source is not None
             is_unexpected = is_moved and target not in known[:1]
-            self.places.record_sent(prompt.affinity_key, target.id, is_unexpected, now)
+            self.prompt_locations.record_sent(prompt.affinity_key, target.id, is_unexpected, now)
 
-    def note_departure(self, target: Target, now: float) -> None:
+    def record_departure(self, target: Target, now: float) -> None:
         """Remove a target whose registration was removed, but keep it as a source while it runs."""
         self._sources.record_departure(target, now)
         self._loads.forget(target.id)
@@ -206,10 +208,10 @@
     def _find_candidates(
         self, service: Service, excluded: set[str], instances: Sequence[str], now: float
     ) -> _Candidates:
-        targets = self._directory.list_available(service.name, now)
+        targets = self._registry.list_available(service.name, now)
         found = _Candidates(targets, self._estimate_loads(service, now))
         found.failing = self._health.list_failing([target.id for target in targets], now)
-        max_requests = compute_most_open(service, len(instances))
+        max_requests = compute_max_connections(service, len(instances))
         for target in targets:
             reason = self._find_rejection_reason(
                 service, target, excluded, max_requests, instances, now
@@ -218,7 +220,7 @@
                 found.eligible.append(target)
             else:
                 found.rejections[reason] = found.rejections.get(reason, 0) + 1
-        self.last_shut = found.rejections
+        self.last_rejections = found.rejections
         return found
 
     def _find_rejection_reason(
@@ -232,7 +234,7 @@
     ) -> str | None:
         """Return why a target cannot receive a request now; None if it can."""
         if target.id in excluded:
-            return "unreachable" if self._health.is_lost(target.id) else "tried"
+            return "unreachable" if self._health.is_unreachable(target.id) else "tried"
         if self._health.is_blocked(target.id, now):
             return "unreachable"
         if self._loads.count_own(target.id) >= max_requests:
@@ -248,7 +250,7 @@
         of service are idle and lower the bound on the others: with the mean of the remaining
         targets alone, a hot key would load its engine beyond the bound.
         """
-        targets = self._directory.list_not_draining(service.name)
+        targets = self._registry.list_not_draining(service.name)
         has_peer_counts = service.engine is not None
         return {
             target.id: self._loads.estimate(target.id, has_peer_counts, now) for target in targets
@@ -328,7 +330,9 @@
         if is_retry or not self._loads.has_counts_of_fraction(MIN_KNOWN_PEERS_FRACTION, now):
             return None
         loads = [candidates.loads[target.id] for target in candidates.eligible]
-        counted = [load for t, load in candidates.loads.items() if not self._health.is_lost(t)]
+        counted = [
+            load for t, load in candidates.loads.items() if not self._health.is_unreachable(t)
+        ]
         return Headroom(self._options.load_factor, loads, counted)
 
     def _select_last_resort(
--- a/rhubarbbend/core/placement/_places.py
+++ b/rhubarbbend/core/placement/_prompt_locations.py
@@ -27,16 +27,16 @@
 MAX_TARGETS_PER_PROMPT: Final = 3
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class PromptLocation(msgspec.Struct, frozen=True, array_like=True):
     """A prompt's affinity key, the target that it was sent to, and how many seconds ago."""
 
     key: str
     target: str
     age: float
 
-    def grow_older(self, seconds: float) -> Place:
+    def add_age(self, seconds: float) -> PromptLocation:
         """Return the location with its age increased, to be sent on some seconds later."""
-        return Place(self.key, self.target, self.age + seconds)
+        return PromptLocation(self.key, self.target, self.age + seconds)
 
 
 class _SendRecord(msgspec.Struct, frozen=True):
@@ -57,7 +57,7 @@
         # The latest location of each prompt that has not been sent to other instances yet.
         self._pending: dict[str, _SendRecord] = {}
         # Called when there is a location to send to other instances; set by the gateway.
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_update: Callable[[], None] = lambda: None
 
     def list_targets(self, key: str, now: float) -> list[tuple[str, float]]:
         """Return the targets that a prompt was sent to and when, the latest first."""
@@ -75,26 +75,27 @@
         self._insert(key, record)
         if is_unexpected:
             self._pending[key] = record
-            self.on_news()
+            self.on_update()
 
-    def hear(self, locations: Iterable[Place], now: float) -> None:
+    def merge_locations(self, locations: Iterable[PromptLocation], now: float) -> None:
         """Record locations received from another instance."""
         for location in locations:
             self._insert(location.key, _SendRecord(location.target, now - location.age))
 
-    def take_news(self, now: float) -> list[Place]:
+    def pop_updates(self, now: float) -> list[PromptLocation]:
         """Return the locations that have not been sent to other instances yet, and clear them."""
         pending = [
-            Place(key, record.target, now - record.at) for key, record in self._pending.items()
+            PromptLocation(key, record.target, now - record.at)
+            for key, record in self._pending.items()
         ]
         self._pending.clear()
         return pending
 
-    def list_recent(self, now: float) -> list[Place]:
+    def list_recent(self, now: float) -> list[PromptLocation]:
         """Return the latest locations that have not expired, for an instance that just joined."""
         latest = [(key, records[0]) for key, records in self._records.items()]
         return [
-            Place(key, record.target, now - record.at)
+            PromptLocation(key, record.target, now - record.at)
             for key, record in latest
             if now - record.at < LOCATION_TTL_S
         ]
--- a/rhubarbbend/core/placement/_prompts.py
+++ b/rhubarbbend/core/placement/_prompts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rhubarbbend.core._rendezvous import place_key
+from rhubarbbend.core._rendezvous import hash_to_unit_interval
 
 
 class PromptPart(msgspec.Struct, frozen=True):
@@ -32,9 +32,9 @@
         return self.parts[-2].id if len(self.parts) > 1 else self.parts[0].id
 
     @property
-    def point(self) -> float:
+    def hash_fraction(self) -> float:
         """The hash of the affinity key as a fraction from 0 to 1, to split prompts by weight."""
-        return place_key(self.affinity_key)
+        return hash_to_unit_interval(self.affinity_key)
 
     @property
     def shared_tokens(self) -> int:
--- a/rhubarbbend/core/placement/_sources.py
+++ b/rhubarbbend/core/placement/_sources.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from rhubarbbend.core.directory import Directory, Target
-from rhubarbbend.core.placement._health import HealthBook
-from rhubarbbend.core.placement._loads import LoadBook
-from rhubarbbend.core.placement._places import PromptLocationTracker
+from rhubarbbend.core.directory import Target, TargetRegistry
+from rhubarbbend.core.placement._health import HealthTracker
+from rhubarbbend.core.placement._loads import LoadTracker
+from rhubarbbend.core.placement._prompt_locations import PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt
 
 # Fetching fewer shared tokens than this takes longer than processing them.
@@ -31,13 +31,13 @@
     """How long a leaving target's prompts may still be fetched, in seconds.
 
     `evacuation_grace` counts from when its zone was taken out of service, `drain_time` from when
-    its registration was removed. A target that responded within `alive` before that has left as
-    planned and still runs; one that crashed has not responded for longer.
+    its registration was removed. A target that responded within `max_response_age_s` before that
+    has left as planned and still runs; one that crashed has not responded for longer.
     """
 
     evacuation_grace: float = 0.0
     drain_time: float = 0.0
-    alive: float = 3.0
+    max_response_age_s: float = 3.0
 
 
 class _DepartedTarget(msgspec.Struct, frozen=True):
@@ -56,13 +56,13 @@
     def __init__(
         self,
         options: SourceOptions,
-        directory: Directory,
-        loads: LoadBook,
-        health: HealthBook,
+        registry: TargetRegistry,
+        loads: LoadTracker,
+        health: HealthTracker,
         locations: PromptLocationTracker,
     ) -> None:
         self._options = options
-        self._directory = directory
+        self._registry = registry
         self._loads = loads
         self._health = health
         self._locations = locations
@@ -82,13 +82,13 @@
         """
         self._departed = {i: d for i, d in self._departed.items() if now < d.until}
         age = self._loads.compute_report_age(target.id, now)
-        if age is not None and age <= self._options.alive:
+        if age is not None and age <= self._options.max_response_age_s:
             self._departed[target.id] = _DepartedTarget(target, now + self._options.drain_time)
 
     def list_holders(self, prompt: Prompt, now: float) -> list[Target]:
         """Return the targets that a prompt was sent to since they started, the latest first."""
         found = self._locations.list_targets(prompt.affinity_key, now)
-        targets = [(self._directory.find(target), at) for target, at in found]
+        targets = [(self._registry.find(target), at) for target, at in found]
         return [t for t, at in targets if t is not None and at >= t.known_since]
 
     def find(
@@ -148,7 +148,7 @@
         Nothing may be fetched from a zone that is out of service, except within a grace period. In
         that time the other targets take over its prompts instead of processing them all again.
         """
-        out_since = self._directory.find_out_of_service_since(target.zone)
+        out_since = self._registry.find_out_of_service_since(target.zone)
         return (
             out_since is None or now - out_since <= GRACE_FRACTION * self._options.evacuation_grace
         )
--- a/rhubarbbend/core/requests/_attempts.py
+++ b/rhubarbbend/core/requests/_attempts.py
@@ -13,13 +13,13 @@
 from rhubarbbend.core import actions, events
 from rhubarbbend.core._context import Context
 from rhubarbbend.core._fleet import TargetView
-from rhubarbbend.core._suspects import Crash, SuspectDuty
+from rhubarbbend.core._suspects import CrashSuspectTracker, ObservedCrash
+from rhubarbbend.core.claims._claim_coordinator import ClaimCoordinator
 from rhubarbbend.core.claims._claim_rows import Outcome
-from rhubarbbend.core.claims._claims import ClaimDuty
 from rhubarbbend.core.configuration import KIND_ENGINE
-from rhubarbbend.core.requests._answers import Answers
+from rhubarbbend.core.requests._request import Request, RequestPhase
 from rhubarbbend.core.requests._request_table import RequestTable
-from rhubarbbend.core.requests._requests import Phase, Request
+from rhubarbbend.core.requests._responses import ResponseSender
 from rhubarbbend.core.requests._retries import RetryBudget
 from rhubarbbend.core.requests._slots import SlotLeases, SlotSearch
 
@@ -52,9 +52,9 @@
         table: RequestTable,
         leases: SlotLeases,
         search: SlotSearch,
-        answers: Answers,
-        claims: ClaimDuty,
-        suspects: SuspectDuty,
+        responses: ResponseSender,
+        claims: ClaimCoordinator,
+        suspects: CrashSuspectTracker,
         budget: RetryBudget,
         listener: AttemptListener,
     ) -> None:
@@ -62,7 +62,7 @@
         self._table = table
         self._leases = leases
         self._search = search
-        self._answers = answers
+        self._responses = responses
         self._claims = claims
         self._suspects = suspects
         self._budget = budget
@@ -71,64 +71,64 @@
     def dispatch(self, request: Request, now: float) -> None:
         """Send a request to the target whose slot it holds."""
         view = self._find_target(request)
-        if view is None or not self._context.takes_work(view):
+        if view is None or not self._context.accepts_new_work(view):
             # The target has left or was taken out of service after the slot was granted, for
             # example while a claim was being written. A slow claim table could delay the dispatch
             # until long after that, and the target must get no new work then.
             self._leases.release(request, completed=False)
             self._search.start(request, now)
             return
-        request.phase = Phase.RUNNING
-        request.attempts += 1
+        request.phase = RequestPhase.RUNNING
+        request.attempt_count += 1
         request.sent = True
         request.dispatched_at = now
-        request.silent_checks = 0
+        request.silence_check_count = 0
         # A command must not be lost on a dead idle connection, so it gets a new one.
         self._emit_dispatch(request, view, fresh=not request.idempotent, now=now)
 
     def handle_head(self, event: events.AttemptHead, now: float) -> None:
         """Record that the response has begun."""
-        request = self._table.find_attempt(event.attempt)
+        request = self._table.find_by_attempt(event.attempt)
         if request is not None:
             # The response of a command is buffered until it is complete, so the caller has got none
             # of it yet.
-            request.started = request.idempotent
-            request.first_byte = now - request.dispatched_at
+            request.response_started = request.idempotent
+            request.time_to_first_byte = now - request.dispatched_at
 
     def handle_done(self, event: events.AttemptDone, now: float) -> None:
         """Finish a request whose response is complete."""
-        request = self._table.find_attempt(event.attempt)
+        request = self._table.find_by_attempt(event.attempt)
         if request is None:
             return
-        self._suspects.clear(request.arrived.body_digest)
+        self._suspects.forget_digest(request.arrival.body_digest)
         self._context.count(codes.ANSWERS)
         if request.idempotent:
             self._leases.release(request, completed=True, total=event.total)
             self._table.remove(request)
             return
         outcome = Outcome(event.status, event.content_type, event.body, event.kept)
-        self._claims.finish(request, outcome, now)
+        self._claims.record_outcome(request, outcome, now)
         self._leases.release(request, completed=True, total=event.total)
-        self._answers.reply(request, outcome, False, now)
+        self._responses.reply(request, outcome, False, now)
 
     def handle_failure(self, event: events.AttemptFailed, now: float) -> None:
         """Retry, resume, probe or end a request whose attempt failed."""
-        request = self._table.find_attempt(event.attempt)
+        request = self._table.find_by_attempt(event.attempt)
         if request is None:
             return
-        request.relayed = event.relayed
+        request.relayed_bytes = event.relayed
         if event.reason == codes.WRONG_ID:
             self._context.count(codes.WRONG_ID)
         if event.stage == STAGE_CONNECT:
             # No byte was sent, so this attempt did not run.
-            request.sent = request.attempts > 1 and request.idempotent
+            request.sent = request.attempt_count > 1 and request.idempotent
             self._retry_elsewhere(request, codes.RETRY_CONNECT, now)
         elif event.stage == STAGE_REFUSED and request.idempotent:
             self._retry_elsewhere(request, codes.RETRY_FAILED, now)
-        elif event.stage == STAGE_NOT_FOUND and not request.started:
+        elif event.stage == STAGE_NOT_FOUND and not request.response_started:
             # The engine never received the request: the connection that carried it was dead.
             self._redispatch(request, now)
-        elif event.reused and not request.started and request.idempotent:
+        elif event.reused and not request.response_started and request.idempotent:
             # A device on the path may have dropped the idle connection; a new one shows whether the
             # target is alive.
             self._context.count(codes.RETRY_SILENT)
@@ -138,13 +138,13 @@
 
     def handle_probe(self, event: events.ProbeAnswered, now: float) -> None:
         """Resume, retry or end a request after the probe of its target."""
-        request = self._table.find_attempt(event.attempt)
-        if request is None or request.phase is not Phase.PROBING:
+        request = self._table.find_by_attempt(event.attempt)
+        if request is None or request.phase is not RequestPhase.PROBING:
             return
         target_lost = event.boot_id != request.boot_id
         if target_lost:
             self._record_target_loss(request, event, now)
-        if request.started or (not target_lost and self._can_resume(request)):
+        if request.response_started or (not target_lost and self._can_resume(request)):
             self._resume(request, target_lost, now)
         elif request.idempotent:
             counter = codes.RETRY_CRASH if target_lost else codes.RETRY_FAILED
@@ -177,7 +177,7 @@
                 view.port,
                 fresh=fresh,
                 ticket=self._search.planner.make_ticket(request, now),
-                fence=request.generation,
+                fence=request.claim_generation,
                 keep=not request.idempotent,
                 head_timeout=head_timeout,
                 progress_timeout=request.service.progress_timeout,
@@ -194,7 +194,9 @@
                 view.host,
                 view.port,
                 request.service.progress_timeout,
-                head_timeout=request.service.progress_timeout if request.started else head_timeout,
+                head_timeout=(
+                    request.service.progress_timeout if request.response_started else head_timeout
+                ),
                 ticket=self._search.planner.make_ticket(request, now),
             )
         )
@@ -202,7 +204,7 @@
     def _schedule_silence_check(self, request: Request, now: float) -> None:
         """Schedule a check that the response has begun; each delay is twice the last one."""
         attempt = request.attempt
-        wait = self._context.options.silence_limit * 2**request.silent_checks
+        wait = self._context.options.silence_limit * 2**request.silence_check_count
         self._context.set_timer(now + wait, lambda at: self._check_silence(request, attempt, at))
 
     def _check_silence(self, request: Request, attempt: str, now: float) -> None:
@@ -212,18 +214,18 @@
         miss the caller's deadline, and treating the target as dead would move a chat that merely
         has a long prompt. The new connection returns the response of the same run in either case.
         """
-        if self._table.find_attempt(attempt) is not request:
+        if self._table.find_by_attempt(attempt) is not request:
             return
-        if request.phase is not Phase.RUNNING or request.started:
+        if request.phase is not RequestPhase.RUNNING or request.response_started:
             return
         limit = self._context.options.max_silent_checks
         if not self._can_resume(request):
             # A plain service runs a request twice that is sent again, so it is sent again at most
             # once, and only if the retry budget allows it.
             limit = 1 if self._budget.try_acquire() else 0
-        if request.silent_checks >= limit:
+        if request.silence_check_count >= limit:
             return
-        request.silent_checks += 1
+        request.silence_check_count += 1
         self._context.count(codes.RETRY_SILENT)
         self._refetch_response(request, now)
 
@@ -239,9 +241,9 @@
 
     def _redispatch(self, request: Request, now: float) -> None:
         view = self._find_target(request)
-        request.resumes += 1
-        exhausted = request.resumes > self._context.options.max_resumes
-        if view is None or exhausted or not self._context.takes_work(view):
+        request.resume_count += 1
+        exhausted = request.resume_count > self._context.options.max_resumes
+        if view is None or exhausted or not self._context.accepts_new_work(view):
             self._retry_elsewhere(request, codes.RETRY_FAILED, now)
             return
         self._emit_dispatch(request, view, fresh=True, now=now)
@@ -259,7 +261,7 @@
         if view is None:
             self._fail_request(request, now)
             return
-        request.phase = Phase.PROBING
+        request.phase = RequestPhase.PROBING
         request.failed_at = now
         self._context.emit(actions.Probe(view.id, request.attempt, view.host, view.port))
         no_answer = events.ProbeAnswered(view.id, request.attempt, "", silent=True)
@@ -275,8 +277,8 @@
         by a request.
         """
         if not event.silent and request.boot_id:
-            crash = Crash(request.boot_id, request.dispatched_at, request.failed_at)
-            self._suspects.record_crash(request.arrived.body_digest, crash, now)
+            crash = ObservedCrash(request.boot_id, request.dispatched_at, request.failed_at)
+            self._suspects.record_crash(request.arrival.body_digest, crash, now)
         view = self._find_target(request)
         if view is not None and not event.boot_id:
             view.down_until = now + self._context.options.down_hold
@@ -287,25 +289,25 @@
         If that is not possible, the request ends with an error that the caller sees.
         """
         view = self._find_target(request)
-        request.resumes += 1
-        exhausted = request.resumes > self._context.options.max_resumes
+        request.resume_count += 1
+        exhausted = request.resume_count > self._context.options.max_resumes
         if target_lost or exhausted or view is None or not self._can_resume(request):
             self._fail_request(request, now)
             return
-        request.phase = Phase.RUNNING
+        request.phase = RequestPhase.RUNNING
         self._context.count(codes.RESUMES)
         self._emit_resume(request, view, now)
 
     def _retry_elsewhere(self, request: Request, counter: str, now: float) -> None:
         self._leases.release(request, completed=False)
-        request.excluded.add(request.target)
+        request.excluded_targets.add(request.target)
         if request.detached:
             # The caller no longer waits. A command that was never sent is abandoned, so that a
             # later request with the same key may run.
             self._listener.refuse_after_attempts(request, codes.DEADLINE, now)
-        elif self._suspects.is_refused(request.arrived.body_digest):
+        elif self._suspects.has_reached_limit(request.arrival.body_digest):
             self._listener.refuse_after_attempts(request, codes.SUSPECT, now)
-        elif request.attempts >= self._context.options.max_attempts:
+        elif request.attempt_count >= self._context.options.max_attempts:
             self._fail_request(request, now)
         elif not self._budget.try_acquire():
             self._listener.refuse_after_attempts(request, codes.RETRY_BUDGET, now)
@@ -315,9 +317,9 @@
 
     def _fail_request(self, request: Request, now: float) -> None:
         """End a request whose attempt failed and is not retried."""
-        if request.started:
+        if request.response_started:
             self.cancel(request)
-            self._answers.abort(request, codes.TARGET_FAILED)
+            self._responses.abort(request, codes.TARGET_FAILED)
             return
         code = codes.TARGET_FAILED if request.idempotent else codes.OUTCOME_UNKNOWN
         self._listener.refuse_after_attempts(request, code, now)
--- a/rhubarbbend/core/requests/_planner.py
+++ b/rhubarbbend/core/requests/_planner.py
@@ -10,7 +10,7 @@
 from rhubarbbend.core._context import Context
 from rhubarbbend.core._fleet import TargetView
 from rhubarbbend.core.configuration import KIND_ENGINE, Service
-from rhubarbbend.core.requests._requests import Request
+from rhubarbbend.core.requests._request import Request
 from rhubarbbend.core.routing import POLICIES, Candidate, Choice, RoutedRequest
 from rhubarbbend.core.routing import RoutingPolicy as Policy
 from rhubarbbend.core.routing._tickets import Place, Ticket, decode_ticket, encode_ticket
@@ -42,10 +42,10 @@
 
         It is empty for requests that belong to no chat or go to no engine.
         """
-        arrived = request.arrived
+        arrived = request.arrival
         if not arrived.chat or request.service.kind != KIND_ENGINE:
             return ""
-        wall = self._context.read_wall(now)
+        wall = self._context.to_unix_time(now)
         place = Place(request.target, request.boot_id, wall, arrived.tokens)
         previous_ticket = self._read_ticket(request)
         other_places = (
@@ -61,14 +61,14 @@
     def _list_candidates(self, request: Request, now: float) -> list[Candidate]:
         context = self._context
         own_zone = context.identity.zone
-        model = request.arrived.model
+        model = request.arrival.model
         found: list[Candidate] = []
         unreachable: list[Candidate] = []
         for view in context.fleet.list_targets(request.service.name):
             known = view.zone == own_zone and view.updated >= 0
-            if view.id in request.excluded or view.down_until > now:
+            if view.id in request.excluded_targets or view.down_until > now:
                 continue
-            if not context.takes_work(view):
+            if not context.accepts_new_work(view):
                 continue
             if known and (not view.ready or not _has_model(view, model)):
                 continue
@@ -90,7 +90,7 @@
         return found or unreachable
 
     def _make_routed_request(self, request: Request, now: float) -> RoutedRequest:
-        arrived = request.arrived
+        arrived = request.arrival
         ticket = self._read_ticket(request)
         return RoutedRequest(
             chat=arrived.chat or request.id,
@@ -99,11 +99,11 @@
             time_left=request.time_left(now),
             max_wait=request.service.max_wait,
             prefill_rate=request.service.prefill_rate,
-            wall=self._context.read_wall(now),
+            wall=self._context.to_unix_time(now),
         )
 
     def _read_ticket(self, request: Request) -> Ticket | None:
-        arrived = request.arrived
+        arrived = request.arrival
         if not arrived.ticket:
             return None
         secret = self._context.identity.secret
--- a/rhubarbbend/core/requests/_requests.py
+++ b/rhubarbbend/core/requests/_request.py
@@ -12,7 +12,7 @@
 from rhubarbbend.core.routing import Choice
 
 
-class Phase(enum.Enum):
+class RequestPhase(enum.Enum):
     """What a request is waiting for."""
 
     SLOT = "slot"  # The reply of a target's owner to the slot request.
@@ -32,68 +32,68 @@
     byte was sent.
     """
 
-    arrived: RequestArrived
+    arrival: RequestArrived
     account: Account
     service: Service
     idempotent: bool
     arrived_at: float
     deadline: float
-    phase: Phase = Phase.SLOT
+    phase: RequestPhase = RequestPhase.SLOT
     plan: list[Choice] = attrs.Factory(list)
     # The index in `plan` of the target whose owner is being asked; -1 before the first.
-    position: int = -1
+    plan_index: int = -1
     attempt: str = ""
     # The instance that was asked for a slot last, or to run a command under a key that it issued.
-    asked_owner: str = ""
-    redirects: int = 0
+    asked_instance: str = ""
+    redirect_count: int = 0
     # Whether instances disagree about which of them owns a planned target, and how often the
     # targets were planned again because of that.
-    unsettled: bool = False
-    settles: int = 0
+    ownership_disputed: bool = False
+    ownership_replan_count: int = 0
     # Whether the owner of a planned target replied that the target is not ready.
     plan_outdated: bool = False
     target: str = ""
     boot_id: str = ""
-    excluded: set[str] = attrs.Factory(set)
+    excluded_targets: set[str] = attrs.Factory(set)
     has_slot: bool = False
     # How often the request was given a slot and dispatched, and how often a run was resumed or
     # sent again to the same target.
-    attempts: int = 0
-    resumes: int = 0
+    attempt_count: int = 0
+    resume_count: int = 0
     sent: bool = False
-    started: bool = False
+    response_started: bool = False
     dispatched_at: float = 0.0
     failed_at: float = 0.0
     # Seconds from the dispatch to the first byte of the response.
-    first_byte: float = 0.0
+    time_to_first_byte: float = 0.0
     # Bytes of the response body that the caller has been sent.
-    relayed: int = 0
+    relayed_bytes: int = 0
     last_refusal: str = ""
     # By how many seconds the wait for a slot would exceed the allowed wait, as estimated by the
     # owner that refused last.
     owner_retry_after: float = 0.0
     # Whether a target crashed while the request ran. A target runs at most one such request at a
     # time.
-    wants_suspect_slot: bool = False
+    is_suspect: bool = False
     # How often a run that had sent no byte was requested again over a new connection.
-    silent_checks: int = 0
+    silence_check_count: int = 0
     # The caller got its response or left; the command runs on so that its outcome is kept.
     detached: bool = False
     # The state of the claim, for operations that are not idempotent.
     claimed: bool = False
     claim_id: str = ""
-    generation: int = 0
-    retake_version: int = 0
+    claim_generation: int = 0
+    expected_row_version: int = 0
 
     @property
     def id(self) -> str:
         """Return the id by which the shell (the I/O layer) refers to the request."""
-        return self.arrived.request
+        return self.arrival.request
 
     @property
     def choice(self) -> Choice:
         """Return the planned target whose owner is being asked for a slot."""
-        return self.plan[self.position]
+        return self.plan[self.plan_index]
 
     def time_left(self, now: float) -> float:
         """Return the seconds that remain until the deadline."""
--- a/rhubarbbend/core/requests/_request_table.py
+++ b/rhubarbbend/core/requests/_request_table.py
@@ -4,7 +4,7 @@
 
 from rhubarbbend.core._context import Context
 from rhubarbbend.core.limits import LIMITS
-from rhubarbbend.core.requests._requests import Request
+from rhubarbbend.core.requests._request import Request
 
 
 class RequestTable:
@@ -36,7 +36,7 @@
         """Return the request with this id if its caller still waits for it."""
         return self._by_id.get(request_id)
 
-    def find_attempt(self, attempt: str) -> Request | None:
+    def find_by_attempt(self, attempt: str) -> Request | None:
         """Return the request whose current attempt this is."""
         return self._by_attempt.get(attempt)
 
@@ -44,13 +44,13 @@
         """Return all requests, including commands that run on without their caller."""
         return [*self._by_id.values(), *self._detached.values()]
 
-    def make_attempt(self) -> str:
+    def make_attempt_id(self) -> str:
         """Make an attempt id that is unique in the fleet, also across restarts."""
         self._next_attempt += 1
         identity = self._identity
         return f"{identity.instance}-{identity.incarnation:x}-{self._next_attempt:x}"
 
-    def set_attempt(self, request: Request, attempt: str) -> None:
+    def set_current_attempt(self, request: Request, attempt: str) -> None:
         """Make this attempt the only current attempt of a request."""
         self._by_attempt.pop(request.attempt, None)
         request.attempt = attempt
--- a/rhubarbbend/core/requests/_answers.py
+++ b/rhubarbbend/core/requests/_responses.py
@@ -12,11 +12,11 @@
 from rhubarbbend.codes import ErrorCode, Verdict
 from rhubarbbend.core import actions
 from rhubarbbend.core._context import Context
-from rhubarbbend.core.claims._claim_records import CLOCK_SKEW
+from rhubarbbend.core.claims._claim_records import MAX_CLOCK_SKEW_S
 from rhubarbbend.core.claims._claim_rows import Outcome
 from rhubarbbend.core.messages import ReservedReply
+from rhubarbbend.core.requests._request import Request
 from rhubarbbend.core.requests._request_table import RequestTable
-from rhubarbbend.core.requests._requests import Request
 from rhubarbbend.core.requests._slots import SlotLeases
 
 # Slot refusals, for which the owner has said when a slot may become free.
@@ -29,7 +29,7 @@
 PEER_REQUEST_ID_SEPARATOR: Final = "/"
 
 
-def make_peer_request(peer: str, forward_id: str) -> str:
+def make_peer_request_id(peer: str, forward_id: str) -> str:
     """Make the id of a request that a peer forwarded.
 
     The ids of callers' requests never contain the separator.
@@ -43,7 +43,7 @@
     return peer, forward_id
 
 
-class Answers:
+class ResponseSender:
     """Sends final responses and closes requests.
 
     Invariant: a request gets at most one final response, and none after its caller has left.
@@ -63,7 +63,7 @@
         self._context.count(f"refused.{code.name}")
         if on_behalf_of:
             _, forward_id = parse_peer_request_id(request_id)
-            wall_time = self._context.read_wall(now)
+            wall_time = self._context.to_unix_time(now)
             reply = ReservedReply(
                 request=forward_id, error=code.name, verdict=verdict, at=wall_time
             )
@@ -83,10 +83,10 @@
     def send_refusal(self, request: Request, code: ErrorCode, verdict: Verdict, now: float) -> None:
         """Send a refusal and leave the request open."""
         self._context.count(f"refused.{code.name}")
-        peer = request.arrived.on_behalf_of
+        peer = request.arrival.on_behalf_of
         if peer:
             _, forward_id = parse_peer_request_id(request.id)
-            wall_time = self._context.read_wall(now)
+            wall_time = self._context.to_unix_time(now)
             reply = ReservedReply(
                 request=forward_id, error=code.name, verdict=verdict.value, at=wall_time
             )
@@ -96,8 +96,8 @@
         if code in SLOT_REFUSAL_CODES:
             retry_after = max(retry_after, request.owner_retry_after)
         if not request.idempotent and verdict is Verdict.NOT_RUN and retry_after:
-            # The key stays refused for this long, see ClaimDuty._settle_refused.
-            refusal_hold = self._context.options.claim_timeout + CLOCK_SKEW
+            # The key stays refused for this long, see ClaimCoordinator._resolve_refused_row.
+            refusal_hold = self._context.options.claim_timeout + MAX_CLOCK_SKEW_S
             retry_after = max(retry_after, refusal_hold)
         self._context.emit(
             actions.Refuse(
@@ -120,7 +120,7 @@
         self._table.remove(request)
 
     def _send_outcome(self, request: Request, outcome: Outcome, replayed: bool) -> None:
-        peer = request.arrived.on_behalf_of
+        peer = request.arrival.on_behalf_of
         if peer:
             _, forward_id = parse_peer_request_id(request.id)
             reply = ReservedReply(
--- a/rhubarbbend/core/requests/_slots.py
+++ b/rhubarbbend/core/requests/_slots.py
@@ -13,7 +13,7 @@
 from rhubarbbend.codes import ErrorCode
 from rhubarbbend.core._context import Context
 from rhubarbbend.core._fleet import TargetView
-from rhubarbbend.core._suspects import SuspectDuty
+from rhubarbbend.core._suspects import CrashSuspectTracker
 from rhubarbbend.core.messages import (
     HeldSlot,
     Message,
@@ -26,12 +26,12 @@
     REFUSAL_FULL,
     REFUSAL_NOT_OWNER,
     REFUSAL_NOT_READY,
-    REFUSAL_QUEUE,
-    REFUSAL_WAIT,
+    REFUSAL_QUEUE_FULL,
+    REFUSAL_WAIT_TOO_LONG,
 )
 from rhubarbbend.core.requests._planner import Planner
+from rhubarbbend.core.requests._request import Request, RequestPhase
 from rhubarbbend.core.requests._request_table import RequestTable
-from rhubarbbend.core.requests._requests import Phase, Request
 from rhubarbbend.core.routing import Reason
 
 MAX_REDIRECTS: Final = 2
@@ -44,14 +44,14 @@
 
 _REFUSAL_COUNTERS: Final = {
     REFUSAL_FULL: codes.RETRY_FULL,
-    REFUSAL_QUEUE: codes.RETRY_FULL,
-    REFUSAL_WAIT: codes.RETRY_FULL,
+    REFUSAL_QUEUE_FULL: codes.RETRY_FULL,
+    REFUSAL_WAIT_TOO_LONG: codes.RETRY_FULL,
     REFUSAL_NOT_READY: codes.RETRY_NOT_READY,
 }
 _REFUSAL_CODES: Final = {
     REFUSAL_FULL: codes.OVERLOADED,
-    REFUSAL_QUEUE: codes.QUEUE_FULL,
-    REFUSAL_WAIT: codes.WAIT_TOO_LONG,
+    REFUSAL_QUEUE_FULL: codes.QUEUE_FULL,
+    REFUSAL_WAIT_TOO_LONG: codes.WAIT_TOO_LONG,
     REFUSAL_NOT_READY: codes.NO_TARGET,
 }
 _REASON_COUNTERS: Final = {
@@ -75,18 +75,18 @@
         """Release a request's slot, or withdraw its slot request, and end its attempt."""
         if not request.attempt:
             return
-        is_current = self._table.find_attempt(request.attempt) is request
-        awaiting_slot = request.phase is Phase.SLOT and is_current
+        is_current = self._table.find_by_attempt(request.attempt) is request
+        awaiting_slot = request.phase is RequestPhase.SLOT and is_current
         if request.has_slot or awaiting_slot:
             release = SlotRelease(
                 attempt=request.attempt,
                 target=request.target,
                 completed=completed,
-                first_byte=request.first_byte,
+                first_byte=request.time_to_first_byte,
                 total=total,
-                sent=request.phase in (Phase.RUNNING, Phase.PROBING),
-                failed=request.phase is Phase.PROBING,
-                tokens=request.arrived.tokens,
+                sent=request.phase in (RequestPhase.RUNNING, RequestPhase.PROBING),
+                failed=request.phase is RequestPhase.PROBING,
+                tokens=request.arrival.tokens,
             )
             self.send_release(request, release)
             self._recently_released[request.target] = -1.0
@@ -109,7 +109,7 @@
                 slot = HeldSlot(
                     attempt=request.attempt,
                     account=request.account.name,
-                    suspect=request.wants_suspect_slot,
+                    suspect=request.is_suspect,
                 )
                 slots_by_target.setdefault(request.target, []).append(slot)
         identity = self._context.identity
@@ -140,7 +140,7 @@
         """
         view = self._context.fleet.targets.get(request.target)
         current_owner = "" if view is None else self._context.fleet.find_owner(view)
-        for owner in dict.fromkeys((request.asked_owner, current_owner)):
+        for owner in dict.fromkeys((request.asked_instance, current_owner)):
             self._context.send(owner, release)
 
     def send_to_owner(self, target: str, message: Message) -> None:
@@ -174,7 +174,7 @@
         context: Context,
         table: RequestTable,
         leases: SlotLeases,
-        suspects: SuspectDuty,
+        suspects: CrashSuspectTracker,
         listener: SlotListener,
     ) -> None:
         self._context = context
@@ -188,12 +188,12 @@
 
     def start(self, request: Request, now: float) -> None:
         """Plan the targets to ask, and ask for a slot of the first one."""
-        request.phase = Phase.SLOT
-        request.position = -1
+        request.phase = RequestPhase.SLOT
+        request.plan_index = -1
         request.plan_outdated = False
-        request.redirects = 0
-        digest = request.arrived.body_digest
-        request.wants_suspect_slot = self._suspects.count_crashes(digest) > 0
+        request.redirect_count = 0
+        digest = request.arrival.body_digest
+        request.is_suspect = self._suspects.get_crash_count(digest) > 0
         request.plan = self.planner.plan(request, now)
         if not request.plan:
             self._listener.handle_slot_refused(request, codes.NO_TARGET, now)
@@ -206,13 +206,13 @@
         If none is left, plan again where that may help, else report the refusal.
         """
         self._table.clear_attempt(request)
-        while request.position + 1 < len(request.plan):
-            request.position += 1
+        while request.plan_index + 1 < len(request.plan):
+            request.plan_index += 1
             view = self._context.fleet.targets.get(request.choice.target)
-            is_last = request.position + 1 == len(request.plan)
-            if request.position >= self._context.options.max_moves and not is_last:
+            is_last = request.plan_index + 1 == len(request.plan)
+            if request.plan_index >= self._context.options.max_moves and not is_last:
                 continue
-            if request.choice.target in request.excluded:
+            if request.choice.target in request.excluded_targets:
                 continue
             if view is not None and request.time_left(now) > 0:
                 self._send_slot_request(request, view, self._context.fleet.find_owner(view), now)
@@ -222,7 +222,7 @@
             # Others may have free slots, but were only asked for one without waiting.
             self.start(request, now)
             return
-        if request.unsettled and request.settles < MAX_OWNERSHIP_REPLANS:
+        if request.ownership_disputed and request.ownership_replan_count < MAX_OWNERSHIP_REPLANS:
             self._schedule_replan(request, now)
             return
         code = _REFUSAL_CODES.get(request.last_refusal, codes.OVERLOADED)
@@ -235,9 +235,9 @@
         does not know yet. Their views agree within one heartbeat; until then, a refusal would
         depend on which instance received the request.
         """
-        request.unsettled = False
-        request.settles += 1
-        request.asked_owner = ""
+        request.ownership_disputed = False
+        request.ownership_replan_count += 1
+        request.asked_instance = ""
         self.schedule_start(request, now + OWNERSHIP_REPLAN_DELAY_S)
 
     def schedule_start(self, request: Request, at: float) -> None:
@@ -245,7 +245,11 @@
         self._context.set_timer(at, lambda now: self._start_if_idle(request, now))
 
     def _start_if_idle(self, request: Request, now: float) -> None:
-        idle = request.phase is Phase.SLOT and not request.has_slot and not request.asked_owner
+        idle = (
+            request.phase is RequestPhase.SLOT
+            and not request.has_slot
+            and not request.asked_instance
+        )
         if idle and self._table.find(request.id) is request:
             self.start(request, now)
 
@@ -254,8 +258,10 @@
 
         A slot that is granted too late, to an attempt that has ended, is released at once.
         """
-        request = self._table.find_attempt(message.attempt)
-        awaiting_slot = request is not None and request.phase is Phase.SLOT and not request.has_slot
+        request = self._table.find_by_attempt(message.attempt)
+        awaiting_slot = (
+            request is not None and request.phase is RequestPhase.SLOT and not request.has_slot
+        )
         if request is None or not awaiting_slot:
             if not message.refusal and request is None:
                 self._context.count(codes.SLOTS_LATE)
@@ -273,20 +279,20 @@
     def handle_peer_lost(self, peer: str, now: float) -> None:
         """Ask other owners for the slots that were requested from a peer that was lost."""
         for request in self._table.list_all():
-            awaiting_slot = request.phase is Phase.SLOT and not request.has_slot
-            if awaiting_slot and request.asked_owner == peer:
+            awaiting_slot = request.phase is RequestPhase.SLOT and not request.has_slot
+            if awaiting_slot and request.asked_instance == peer:
                 self._context.count(codes.RETRY_OWNER)
-                request.unsettled = True
+                request.ownership_disputed = True
                 self.try_next_target(request, now)
 
     def _send_slot_request(
         self, request: Request, view: TargetView, owner: str, now: float
     ) -> None:
         identity = self._context.identity
-        attempt = self._table.make_attempt()
-        self._table.set_attempt(request, attempt)
+        attempt = self._table.make_attempt_id()
+        self._table.set_current_attempt(request, attempt)
         request.target = view.id
-        request.asked_owner = owner
+        request.asked_instance = owner
         max_wait = min(request.choice.max_wait, max(0.0, request.time_left(now)))
         message = SlotRequest(
             attempt=attempt,
@@ -295,10 +301,10 @@
             target=view.id,
             account=request.account.name,
             max_wait=max_wait,
-            suspect=request.wants_suspect_slot,
+            suspect=request.is_suspect,
             service_name=request.service.name,
             weight=request.account.weight,
-            model=request.arrived.model,
+            model=request.arrival.model,
         )
         self._context.send(owner, message)
         if owner != identity.instance:
@@ -315,31 +321,34 @@
         only after 2 s, and until then each further request would wait like this one. The time-out
         callback is therefore called, so that the owner's targets are skipped from now on.
         """
-        found = self._table.find_attempt(attempt)
-        if found is not request or request.phase is not Phase.SLOT:
+        found = self._table.find_by_attempt(attempt)
+        if found is not request or request.phase is not RequestPhase.SLOT:
             return
         self._context.count(codes.RETRY_OWNER)
         release = SlotRelease(attempt=attempt, target=request.target)
         self._leases.send_release(request, release)
-        self.on_owner_timeout(request.asked_owner, now)
-        request.unsettled = True
+        self.on_owner_timeout(request.asked_instance, now)
+        request.ownership_disputed = True
         self.try_next_target(request, now)
 
     def _handle_refusal(self, request: Request, message: SlotReply, now: float) -> None:
         view = self._context.fleet.targets.get(message.target)
         is_redirect = message.refusal == REFUSAL_NOT_OWNER
-        if is_redirect and view is not None and request.redirects < MAX_REDIRECTS:
-            request.redirects += 1
+        if is_redirect and view is not None and request.redirect_count < MAX_REDIRECTS:
+            request.redirect_count += 1
             self._context.count(codes.RETRY_REDIRECT)
             self._send_slot_request(request, view, message.owner, now)
             return
         if is_redirect:
-            request.unsettled = True
+            request.ownership_disputed = True
         else:
             request.last_refusal = message.refusal
-            if message.refusal == REFUSAL_NOT_READY and message.target not in request.excluded:
+            if (
+                message.refusal == REFUSAL_NOT_READY
+                and message.target not in request.excluded_targets
+            ):
                 # Each new plan excludes one more target, so planning again comes to an end.
-                request.excluded.add(message.target)
+                request.excluded_targets.add(message.target)
                 request.plan_outdated = True
             request.owner_retry_after = message.retry_after
             self._context.count(_REFUSAL_COUNTERS.get(message.refusal, codes.RETRY_FULL))
--- a/rhubarbbend/core/routing/_base.py
+++ b/rhubarbbend/core/routing/_base.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from rhubarbbend.core._rendezvous import weigh_names
+from rhubarbbend.core._rendezvous import compute_weights
 from rhubarbbend.core.routing._tickets import Ticket
 from rhubarbbend.kernel import Registry
 
@@ -75,7 +75,7 @@
 
 def rank_candidates(chat: str, candidates: Sequence[Candidate]) -> list[int]:
     """Return the candidates' rendezvous weights for a chat, the same at every instance."""
-    return weigh_names(chat, [candidate.target for candidate in candidates])
+    return compute_weights(chat, [candidate.target for candidate in candidates])
 
 
 class RoutingPolicy(abc.ABC):
--- a/rhubarbbend/core/routing/_baselines.py
+++ b/rhubarbbend/core/routing/_baselines.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from rhubarbbend.core._fleet import rank
+from rhubarbbend.core._fleet import compute_rendezvous_weight
 from rhubarbbend.core.routing._base import (
     POLICIES,
     Candidate,
@@ -75,6 +75,10 @@
         self, request: RoutedRequest, candidates: Sequence[Candidate], random: Random
     ) -> list[Choice]:
         """Return the candidates in rendezvous order, each with the maximum wait."""
-        ordered = sorted(candidates, key=lambda c: rank(request.chat, c.target), reverse=True)
+        ordered = sorted(
+            candidates,
+            key=lambda c: compute_rendezvous_weight(request.chat, c.target),
+            reverse=True,
+        )
         wait = min(request.max_wait, request.time_left)
         return [Choice(candidate.target, wait, Reason.HOME) for candidate in ordered]
--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -50,7 +50,7 @@
 
 
 class AttemptRunner:
-    """Runs attempts. Invariant: each is counted in the load book from its choice to its end."""
+    """Runs attempts. Invariant: each is counted in the load tracker from its choice to its end."""
 
     def __init__(
         self, state: State, pool: ConnectionPool, protocol: TargetProtocol, clock: Clock
@@ -69,15 +69,15 @@
         target = choice.target
         request.attempt_target = target
         request.chosen_at = self._clock()
-        self._state.loads.begin(target.id)
-        self._state.placement.note_chosen(target, request.chosen_at)
+        self._state.loads.record_start(target.id)
+        self._state.placement.record_chosen(target, request.chosen_at)
         try:
             connection = await self._connect(request, target)
             if connection is None:
                 return AttemptEnd.UNREACHED
             return await self._exchange(request, choice, connection)
         finally:
-            self._state.loads.end(target.id)
+            self._state.loads.record_end(target.id)
 
     async def _connect(self, request: OpenRequest, target: Target) -> Connection | None:
         now = self._clock()
@@ -92,9 +92,9 @@
         except HttpFailure as failure:
             now = self._clock()
             timed_out = failure.reason == REASON_TIMEOUT
-            note = health.note_timeout if timed_out else health.note_unreachable
+            note = health.record_connect_timeout if timed_out else health.record_unreachable
             held = note(target.id, now)
-            if timed_out and health.is_lost(target.id):
+            if timed_out and health.is_unreachable(target.id):
                 self._state.note_lost(target, now)
             self._state.metrics.add(codes.RETRY_CONNECT)
             self._log(
@@ -107,7 +107,7 @@
             )
             return None
         if not connection.reused:
-            health.note_connected(target.id, now)
+            health.record_connected(target.id, now)
         return connection
 
     async def _exchange(
@@ -170,7 +170,7 @@
         connection.send_raw(caller.method, caller.target, headers, caller.body)
         request.sent_at = now
         request.relay.has_begun = False
-        self._state.placement.note_sent(choice, caller.prompt, request.chosen_at, now)
+        self._state.placement.record_sent(choice, caller.prompt, request.chosen_at, now)
         self._log(
             "sent",
             request,
@@ -214,9 +214,9 @@
         now = self._clock()
         is_told = request.service.engine is not None
         unseen = held - round(self._state.loads.estimate(target.id, is_told, now))
-        self._state.metrics.add(codes.LOAD_WORDS)
-        self._state.metrics.add(codes.LOAD_UNSEEN, max(0, unseen))
-        self._state.loads.take_report(target.id, held, now)
+        self._state.metrics.add(codes.LOAD_REPORTS_IN_ANSWERS)
+        self._state.metrics.add(codes.LOAD_UNDERESTIMATED, max(0, unseen))
+        self._state.loads.record_report(target.id, held, now)
 
     async def _await_head(
         self, request: OpenRequest, target: Target, connection: Connection
@@ -351,9 +351,9 @@
         now = self._clock()
         health = self._state.health
         if end is AttemptEnd.MISDIRECTED:
-            health.note_unreachable(target.id, now)
+            health.record_unreachable(target.id, now)
             return
-        health.note_answer(target.id, end is not AttemptEnd.ANSWERED, now)
+        health.record_response(target.id, end is not AttemptEnd.ANSWERED, now)
         if end is AttemptEnd.ANSWERED:
             self._state.crashes.clear(request.digest)
 
--- a/rhubarbbend/gateway/_crash_watch.py
+++ b/rhubarbbend/gateway/_crash_watch.py
@@ -49,11 +49,11 @@
             return
         except HttpFailure as failure:
             reason = failure.reason
-        state.health.note_unreachable(target.id, read_clock())
+        state.health.record_unreachable(target.id, read_clock())
         # Others that went at the same time are found out by now.
         await asyncio.sleep(CRASH_CHECK_DELAY)
         now = read_clock()
-        lost = state.health.count_lost_since(now - CRASH_CHECK_WINDOW)
+        lost = state.health.count_unreachable_since(now - CRASH_CHECK_WINDOW)
         if lost > 1:
             state.journal.write(
                 "crash_doubted", now, id=request, target=target.id, lost_together=lost
--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -227,7 +227,7 @@
         away = self._contact.note_answer(now)
         if away is None:
             return
-        self._state.directory.note_store_returned(now)
+        self._state.registry.record_store_recovery(now)
         self._log("store_regained", away=round(away, 3))
 
     def _note_failure(self, table: str, error: StoreError) -> None:
@@ -301,19 +301,19 @@
         self._state.known_at = max(self._state.known_at, known_at)
         if reply.pages:
             self._intake.take_pages(reply.pages, "peer")
-        self._state.loads.hear(reply.loads, True, now)
+        self._state.loads.merge_reports(reply.loads, True, now)
         for note in reply.news.items:
             self._state.hear(note, now)
 
     def _note_return(self, reply: ChangesReply, asked: float) -> None:
         """Take in that the store has returned: what lapsed with it is not gone yet."""
         if reply.since_return is not None:
-            self._state.directory.note_store_returned(asked - reply.since_return)
+            self._state.registry.record_store_recovery(asked - reply.since_return)
 
     def _begin_reading(self, reason: str) -> None:
         if not self._reads.is_set():
             self._reads.set()
-            self._state.metrics.add(codes.STORE_READS_BEGUN)
+            self._state.metrics.add(codes.DIRECT_STORE_READS_STARTED)
             self._log("reads_store", reason=reason, known_age=self._state.show_age(read_clock()))
 
     def _stop_reading(self, reader: str) -> None:
@@ -329,7 +329,7 @@
             await asyncio.sleep(HOLD)
             now = read_clock()
             if self._plan.is_reader(self._state.instances, now):
-                loads = self._state.loads.list_since(told_at, False, now)
+                loads = self._state.loads.list_reports_since(told_at, False, now)
                 if loads:
                     await self._peers.tell(Note(loads=loads))
             told_at = now
@@ -376,8 +376,8 @@
     async def _drop_gone(self) -> None:
         while True:
             await asyncio.sleep(1.0)
-            for target in self._state.directory.drop_gone(read_clock()):
-                self._state.placement.note_departure(target, read_clock())
+            for target in self._state.registry.expire_unregistered(read_clock()):
+                self._state.placement.record_departure(target, read_clock())
                 self._log("target_gone", target=target.id)
 
     def _log(self, event: str, **fields: Any) -> None:
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -92,7 +92,7 @@
         self._limits_version = -1
         self._settings_read_at = 0.0
         self._has_places = asyncio.Event()
-        self.state.placement.places.on_news = self._has_places.set
+        self.state.placement.prompt_locations.on_update = self._has_places.set
 
     async def run(self) -> None:
         """Serve until a planned stop has ended."""
@@ -167,10 +167,10 @@
         state = self.state
         metrics = state.metrics
         metrics.set_gauge("open_requests", lambda: self._requests.open)
-        metrics.set_gauge("targets", state.directory.count)
+        metrics.set_gauge("targets", state.registry.count)
         metrics.set_gauge("instances", lambda: len(state.list_instances()))
         metrics.set_gauge(
-            "instances_heard", lambda: state.loads.others.count_instances(read_clock())
+            "instances_heard", lambda: state.loads.peer_counts.count_instances(read_clock())
         )
         metrics.set_gauge("ready", lambda: float(state.ready))
         metrics.set_gauge("store_reached", lambda: float(self._follower.store_reached))
@@ -207,7 +207,7 @@
             await self._has_places.wait()
             await asyncio.sleep(PLACES_DELAY)
             self._has_places.clear()
-            places = self.state.placement.places.take_news(read_clock())
+            places = self.state.placement.prompt_locations.pop_updates(read_clock())
             await self._peers.tell(Note(places))
 
     async def _keep_house(self) -> None:
--- a/rhubarbbend/gateway/_intake.py
+++ b/rhubarbbend/gateway/_intake.py
@@ -39,7 +39,7 @@
             for change in self._decoder.decode(table, changes):
                 self._take(change, source)
         if all(table.known for table in self._state.mirror.tables.values()):
-            self._state.directory.finish_first_read()
+            self._state.registry.mark_initial_read_complete()
         if self._state.knows_all:
             self._state.opened.set()
         if count:
@@ -65,16 +65,16 @@
         elif isinstance(change, TargetRead):
             self._take_target(change, source, now)
         elif isinstance(change, TargetMissing):
-            target = self._state.directory.find(change.target)
-            self._state.directory.unregister(change.target, now)
-            if target is not None and self._state.directory.find(change.target) is None:
-                self._state.placement.note_departure(target, now)
+            target = self._state.registry.find(change.target)
+            self._state.registry.unregister(change.target, now)
+            if target is not None and self._state.registry.find(change.target) is None:
+                self._state.placement.record_departure(target, now)
             self._log("target_unregistered", target=change.target, source=source)
         elif isinstance(change, ZoneMoved):
             if change.out:
-                self._state.directory.take_zone_out(change.zone, now)
+                self._state.registry.take_zone_out_of_service(change.zone, now)
             else:
-                self._state.directory.take_zone_in(change.zone, now)
+                self._state.registry.return_zone_to_service(change.zone, now)
             self._log("zone_out" if change.out else "zone_in", zone=change.zone, source=source)
         elif isinstance(change, Unreadable):
             self._state.metrics.add(codes.CONFIG_UNREADABLE)
@@ -97,7 +97,7 @@
 
     def _take_target(self, change: TargetRead, source: str, now: float) -> None:
         record = change.record
-        target = self._state.directory.register(record, now)
+        target = self._state.registry.register(record, now)
         self._log(
             "target_registered",
             target=record.id,
--- a/rhubarbbend/gateway/_listening.py
+++ b/rhubarbbend/gateway/_listening.py
@@ -71,7 +71,7 @@
             question.add_done_callback(lambda _: self._questions.pop(target.id))
 
     async def _ask(self, target: Target) -> None:
-        self._state.metrics.add(codes.SILENT_ASKED)
+        self._state.metrics.add(codes.SILENT_TARGETS_PROBED)
         try:
             connection = await Connection.open(target.address, self._connect_timeout)
         except HttpFailure as failure:
@@ -79,7 +79,7 @@
             if target.id in self._open:
                 self._lost_at[target.id] = now
             # Silence and a connection that is not taken say together what one of them may not.
-            self._state.health.note_unreachable(target.id, now)
+            self._state.health.record_unreachable(target.id, now)
             self._state.note_lost(target, now)
             self._pool.drop_address(target.address)
             self._state.journal.write(
@@ -90,7 +90,7 @@
         if target.id in self._open:
             self._vouched_until[target.id] = now + VOUCHED
         self._lost_at.pop(target.id, None)
-        self._state.health.note_connected(target.id, now)
+        self._state.health.record_connected(target.id, now)
         connection.idle_since = now
         self._pool.lay(connection)
 
--- a/rhubarbbend/gateway/_load_telling.py
+++ b/rhubarbbend/gateway/_load_telling.py
@@ -15,13 +15,13 @@
 
 from rhubarbbend import codes
 from rhubarbbend.core.placement import (
-    NUMBERS,
-    InFlight,
-    Scope,
-    Teller,
-    can_be,
-    compute_most_open,
-    compute_tag,
+    SEQUENCE_MODULUS,
+    CountScope,
+    InFlightPublisher,
+    InFlightUpdate,
+    compute_max_connections,
+    compute_target_hash,
+    is_plausible,
 )
 from rhubarbbend.core.readers import ReaderPlan
 from rhubarbbend.gateway._settings import Address
@@ -48,13 +48,13 @@
         self._plan = plan
         self._name = state.settings.instance
         # Goes on faster than messages do, so that a process comes back with a later number.
-        first_number = int(time.time() * NUMBERS_PER_SECOND) % NUMBERS
-        self._teller = Teller(self._name, first_number)
+        first_number = int(time.time() * NUMBERS_PER_SECOND) % SEQUENCE_MODULUS
+        self._teller = InFlightPublisher(self._name, first_number)
         # Senders whose messages are being rejected, each logged once until one is taken.
         self._rejected: set[str] = set()
         self._changed = asyncio.Event()
         self._transport: asyncio.DatagramTransport | None = None
-        state.loads.on_change = self._changed.set
+        state.loads.on_own_change = self._changed.set
 
     async def open(self, address: Address) -> None:
         """Listen for the others, and be able to tell them."""
@@ -79,20 +79,24 @@
         own = self._count_own()
         reader = self._choose_reader(now)
         if reader is not None:
-            self._teller.keep_only({reader})
-            return self._tell(reader, Scope.PART, own, 1, now)
+            self._teller.retain_receivers({reader})
+            return self._tell(reader, CountScope.SENDER_GROUP, own, 1, now)
         speakers = self._plan.list_relays(self._state.instances, now)
-        senders = loads.others.list_senders(now)
+        senders = loads.peer_counts.list_senders(now)
         listeners = [s for s in senders if s not in speakers and s in self._state.instances]
-        self._teller.keep_only({*speakers, *listeners})
-        spoken_for, instances = loads.others.add_up(listeners)
+        self._teller.retain_receivers({*speakers, *listeners})
+        spoken_for, instances = loads.peer_counts.add_up(listeners)
         part = own + spoken_for
-        sent = sum(self._tell(s, Scope.PART, part, 1 + instances, now) for s in speakers)
-        total, instances = loads.others.add_up(senders)
+        sent = sum(
+            self._tell(s, CountScope.SENDER_GROUP, part, 1 + instances, now) for s in speakers
+        )
+        total, instances = loads.peer_counts.add_up(senders)
         for listener in listeners:
-            theirs, count = loads.others.add_up([listener])
+            theirs, count = loads.peer_counts.add_up([listener])
             rest = own + total - theirs
-            sent += self._tell(listener, Scope.REST, rest, 1 + instances - count, now)
+            sent += self._tell(
+                listener, CountScope.ALL_EXCEPT_RECEIVER, rest, 1 + instances - count, now
+            )
         return sent
 
     def _count_own(self) -> Counter[int]:
@@ -104,19 +108,19 @@
         services = {} if state.catalog is None else state.catalog.services
         engines = {name for name, service in services.items() if service.engine is not None}
         counts: Counter[int] = Counter()
-        for name, count in state.loads.list_own().items():
-            target = state.directory.find(name)
+        for name, count in state.loads.get_own_counts().items():
+            target = state.registry.find(name)
             if target is not None and target.service in engines:
-                counts[compute_tag(name)] += count
+                counts[compute_target_hash(name)] += count
         return counts
 
     def _tell(
-        self, receiver: str, scope: Scope, counts: Counter[int], instances: int, now: float
+        self, receiver: str, scope: CountScope, counts: Counter[int], instances: int, now: float
     ) -> int:
         row = self._state.instances.get(receiver)
         if row is None or self._transport is None:
             return 0
-        message = self._teller.prepare(receiver, scope, counts, instances, now)
+        message = self._teller.prepare_update(receiver, scope, counts, instances, now)
         if message is None:
             return 0
         data = msgspec.msgpack.encode(message)
@@ -136,7 +140,7 @@
         instance could make every engine look full, and all callers would be refused.
         """
         try:
-            told = msgspec.msgpack.decode(data, type=InFlight)
+            told = msgspec.msgpack.decode(data, type=InFlightUpdate)
         except msgspec.MsgspecError:
             self._state.metrics.add(codes.PEER_FRAMES_BAD)
             return
@@ -148,27 +152,29 @@
             self._reject(told, addr, "not the sender's address", now)
         elif not self._can_be(told):
             self._reject(told, addr, "more than there can be", now)
-        elif told.scope is Scope.REST and told.sender != self._choose_reader(now):
+        elif told.scope is CountScope.ALL_EXCEPT_RECEIVER and told.sender != self._choose_reader(
+            now
+        ):
             self._reject(told, addr, "this instance does not wait there", now)
         else:
             self._rejected.discard(told.sender)
-            self._state.loads.hear_instance(told, now)
+            self._state.loads.record_peer_update(told, now)
 
     def _choose_reader(self, now: float) -> str | None:
         return self._plan.choose(self._state.instances, now)
 
-    def _can_be(self, told: InFlight) -> bool:
+    def _can_be(self, told: InFlightUpdate) -> bool:
         instances = len(self._state.list_instances())
         if self._state.catalog is None:
-            return can_be(told, instances, None)
+            return is_plausible(told, instances, None)
         # One that has not read the list yet takes its part for that of one of so many.
         sharing = min(instances, ASSUMED_INSTANCES)
         services = self._state.catalog.services.values()
         engines = [service for service in services if service.engine is not None]
-        most = max((compute_most_open(service, sharing) for service in engines), default=0)
-        return can_be(told, instances, most)
+        most = max((compute_max_connections(service, sharing) for service in engines), default=0)
+        return is_plausible(told, instances, most)
 
-    def _reject(self, told: InFlight, addr: Address, reason: str, now: float) -> None:
+    def _reject(self, told: InFlightUpdate, addr: Address, reason: str, now: float) -> None:
         self._state.metrics.add(codes.PEER_COUNTS_REJECTED)
         if told.sender not in self._rejected:
             self._rejected.add(told.sender)
--- a/rhubarbbend/gateway/_peers.py
+++ b/rhubarbbend/gateway/_peers.py
@@ -108,7 +108,7 @@
                 hello = msgspec.msgpack.decode(exchange.body, type=Hello)
                 self._state.put_instance(hello.instance, hello.row)
                 self._state.joined.notify_soon()
-                places = self._state.placement.places.list_recent(read_clock())
+                places = self._state.placement.prompt_locations.list_recent(read_clock())
                 _respond(exchange, msgspec.msgpack.encode(Note(places)))
             else:
                 exchange.respond(404, [], b"")
@@ -118,7 +118,7 @@
 
     async def _serve_changes(self, exchange: Exchange, query: ChangesQuery) -> None:
         asked = read_clock()
-        self._state.loads.hear(query.loads, False, asked)
+        self._state.loads.merge_reports(query.loads, False, asked)
         # One that lacks a table has no use for an age yet, but for the table as soon as it is here.
         lacks_table = any(position < 0 for position in query.positions.values())
         while not exchange.closed.is_set():
@@ -133,10 +133,10 @@
             if pages or news.items or left <= 0.0:
                 break
             await self._state.changed.wait(left)
-        away = now - self._state.directory.store_returned_at
+        away = now - self._state.registry.store_recovered_at
         since_return = away if away <= LONGEST_RETURN else None
-        aged = NewsPage([note.grow_older(now) for note in news.items], news.position)
-        loads = self._state.loads.list_since(query.loads_after, True, now)
+        aged = NewsPage([note.add_age(now) for note in news.items], news.position)
+        loads = self._state.loads.list_reports_since(query.loads_after, True, now)
         reply = ChangesReply(pages, age, now - asked, since_return, aged, loads, now)
         _respond(exchange, msgspec.msgpack.encode(reply))
 
@@ -160,7 +160,7 @@
     ) -> ChangesReply | None:
         """Ask the instance that this one waits at, and give and take what else there is to tell."""
         now = read_clock()
-        loads = self._state.loads.list_since(at.told_at, False, now)
+        loads = self._state.loads.list_reports_since(at.told_at, False, now)
         positions = self._list_positions()
         query = ChangesQuery(self._name, positions, hold, at.news, loads, at.loads)
         reply = await self._ask(peer, query)
@@ -204,7 +204,7 @@
         for reply in replies:
             if reply:
                 told = msgspec.msgpack.decode(reply, type=Note)
-                self._state.placement.places.hear(told.places, read_clock())
+                self._state.placement.prompt_locations.merge_locations(told.places, read_clock())
 
     async def _tell_relays(
         self, path: str, body: bytes, instances: Mapping[str, InstanceRow]
--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_serving.py
@@ -141,7 +141,7 @@
                 return None
         # A chat stays with one service, or each change would have its prompts read there anew.
         chat = caller.prompt
-        point = self._state.random.random() if chat is None else chat.point
+        point = self._state.random.random() if chat is None else chat.hash_fraction
         name = route.choose_service(point)
         service = catalog.services.get(name)
         if service is None:
@@ -194,7 +194,7 @@
                 now,
             )
             if choice is None or unreached > MAX_UNREACHED:
-                request.shut = dict(self._state.placement.last_shut)
+                request.shut = dict(self._state.placement.last_rejections)
                 self._give_up(request, self._explain_none(request.shut))
                 return
             self._state.metrics.add(f"routed.{choice.reason.value}")
@@ -207,7 +207,7 @@
             if end is AttemptEnd.UNREACHED:
                 unreached += 1
                 # A request waits for one time-out of those that may be away, not for each.
-                request.excluded |= self._state.health.list_lost()
+                request.excluded |= self._state.health.list_unreachable()
             if not self._go_on(request, end):
                 return
 
--- a/rhubarbbend/gateway/_state.py
+++ b/rhubarbbend/gateway/_state.py
@@ -13,14 +13,14 @@
 from rhubarbbend import codes
 from rhubarbbend.core.catalog import Catalog
 from rhubarbbend.core.delivery import CrashBook
-from rhubarbbend.core.directory import Directory, Target
+from rhubarbbend.core.directory import Target, TargetRegistry
 from rhubarbbend.core.mirror import Mirror
 from rhubarbbend.core.placement import (
-    HealthBook,
-    LoadBook,
-    Place,
+    HealthTracker,
+    LoadTracker,
     Placement,
     PlacementOptions,
+    PromptLocation,
     TargetLoad,
 )
 from rhubarbbend.core.readers import InstanceRow, NewsLog
@@ -55,20 +55,20 @@
     Loads are not kept with the note: whoever waits here is given the latest of each target.
     """
 
-    places: list[Place] = []
+    places: list[PromptLocation] = []
     crashes: list[CrashNote] = []
     loads: list[TargetLoad] = []
     at: float | None = None
 
-    def grow_older(self, now: float) -> Note:
+    def add_age(self, now: float) -> Note:
         """Give the note as it has to be passed on now."""
         waited = 0.0 if self.at is None else now - self.at
-        places = [place.grow_older(waited) for place in self.places]
+        places = [place.add_age(waited) for place in self.places]
         return Note(places, self.crashes)
 
 
 class State:
-    """One instance's views, and the books of what it does."""
+    """One instance's views, and the trackers of what it does."""
 
     def __init__(
         self, settings: GatewaySettings, tables: tuple[str, ...], journal: Journal
@@ -81,13 +81,13 @@
         self.config_table = tables[0]
         self.catalog: Catalog | None = None
         self.timings = derive_timings(settings)
-        self.directory = Directory(derive_directory_options(settings))
-        self.loads = LoadBook()
-        self.health = HealthBook()
+        self.registry = TargetRegistry(derive_directory_options(settings))
+        self.loads = LoadTracker()
+        self.health = HealthTracker()
         self.cold = ColdAllowance(settings.instance, settings.cold_overshoot, settings.cold_slack)
         self.crashes = CrashBook()
         options = _make_options(settings)
-        self.placement = Placement(options, self.directory, self.loads, self.health, self.cold)
+        self.placement = Placement(options, self.registry, self.loads, self.health, self.cold)
         # A new object with each change: what is worked out from it is kept until then.
         self.instances: Mapping[str, InstanceRow] = {}
         self.news: NewsLog[Note] = NewsLog()
@@ -108,7 +108,7 @@
         """Go by other bounds from now on; what has been counted towards them stays counted."""
         self.settings = settings
         self.timings = derive_timings(settings)
-        self.directory.set_options(derive_directory_options(settings))
+        self.registry.set_options(derive_directory_options(settings))
         self.cold.set_bound(settings.cold_overshoot, settings.cold_slack)
         self.placement.set_options(_make_options(settings))
         for share in self._retries.values():
@@ -163,7 +163,7 @@
 
     def _note_instances(self) -> None:
         self._instance_ids = None
-        self.loads.expected = len(self.instances.keys() - {self.settings.instance})
+        self.loads.expected_peers = len(self.instances.keys() - {self.settings.instance})
 
     def measure_age(self, now: float) -> float:
         """Give for how long it has not been known that the store holds nothing newer."""
@@ -175,13 +175,13 @@
 
     def hear(self, note: Note, now: float) -> None:
         """Take in what another instance tells, and keep it for those that wait at this one."""
-        self.loads.hear(note.loads, True, now)
-        self.placement.places.hear(note.places, now)
+        self.loads.merge_reports(note.loads, True, now)
+        self.placement.prompt_locations.merge_locations(note.places, now)
         for crash in note.crashes:
             self.crashes.note_crash(crash.digest, crash.target, now)
             # Found out only with the next crash, it would look as if both went together, and no
             # request would be blamed.
-            self.health.note_unreachable(crash.target, now)
+            self.health.record_unreachable(crash.target, now)
         self.pass_on(note, now)
 
     def pass_on(self, note: Note, now: float) -> None:
@@ -195,9 +195,9 @@
         """Take in that a target of another zone does not answer: its whole zone may be cut off."""
         if target.zone == self.settings.zone:
             return
-        doubted = self.health.suspect_zone(self.directory.list_neighbours(target), now)
+        doubted = self.health.mark_zone_suspect(self.registry.list_others_in_zone(target), now)
         if doubted:
-            self.metrics.add(codes.ZONES_DOUBTED)
+            self.metrics.add(codes.ZONES_SUSPECTED)
             self.journal.write(
                 "zone_doubted", now, zone=target.zone, target=target.id, doubted=len(doubted)
             )
--- a/rhubarbbend/operators/_server.py
+++ b/rhubarbbend/operators/_server.py
@@ -96,7 +96,7 @@
         configuration = self._core.context.configuration
         declarations = [
             SCHEMA.Declaration(kind=item.kind, name=item.name, value=item.value)
-            for item in sorted(configuration.iterate_live(), key=lambda i: (i.kind, i.name))
+            for item in sorted(configuration.iterate_declared(), key=lambda i: (i.kind, i.name))
         ]
         return SCHEMA.ConfigView(version=configuration.version, declarations=declarations)
 
@@ -130,7 +130,7 @@
                 owner=context.fleet.find_owner(view),
                 ready=view.ready,
                 in_service=context.configuration.is_target_in_service(view.id, view.zone),
-                declared_in=context.configuration.is_target_declared_in(view.id),
+                declared_in=context.configuration.is_target_declared_in_service(view.id),
                 leaving=view.leaving,
                 cold=view.cold,
                 load=view.load,
@@ -179,7 +179,7 @@
         return view.id == self._core.context.identity.instance
 
     def _has_reported_since(self, view: InstanceView, since: float) -> bool:
-        return self._is_own(view) or view.version_heard >= since
+        return self._is_own(view) or view.version_received_at >= since
 
     def _get_version(self, view: InstanceView) -> int:
         return (
@@ -189,7 +189,7 @@
     def _compute_report_age(self, view: InstanceView, now: float) -> float:
         if self._is_own(view):
             return 0.0
-        return now - view.version_heard if view.version_heard >= 0 else -1.0
+        return now - view.version_received_at if view.version_received_at >= 0 else -1.0
 
     def _check_key(self, key: str) -> None:
         if not hmac.compare_digest((key or "").encode(), self._key.encode()):
