--- a/rhubarbbend/shell/_runtime.py
+++ b/rhubarbbend/shell/_runtime.py
@@ -23,7 +23,7 @@
 from rhubarbbend import codes
 from rhubarbbend.core import Core, Identity, actions, events
 from rhubarbbend.core.messages import Message, ReservedReply, ReservedRun
-from rhubarbbend.core.requests._answers import make_peer_request
+from rhubarbbend.core.requests._responses import make_peer_request_id
 from rhubarbbend.http import ConnectionPool, HttpServer, ServerLimits
 from rhubarbbend.operators import ChangeAnswer, OperatorServer, make_operator_key
 from rhubarbbend.peers import PeerLinks, PeerListener
@@ -195,7 +195,7 @@
 
     def _handle_peer_message(self, sender: str, message: Message) -> None:
         if isinstance(message, ReservedRun):
-            request = make_peer_request(sender, message.request)
+            request = make_peer_request_id(sender, message.request)
             headers = {"content-type": message.content_type, "idempotency-key": message.key}
             path = f"/{message.service_name}{message.path}"
             self._caller_server.open_requests[request] = OpenRequest(
@@ -262,7 +262,7 @@
     def _send_peer(self, action: actions.SendPeer) -> None:
         if isinstance(action.message, ReservedReply):
             self._caller_server.open_requests.pop(
-                make_peer_request(action.peer, action.message.request), None
+                make_peer_request_id(action.peer, action.message.request), None
             )
         self._peer_links.send(action.peer, (action.host, action.port), action.message)
 
--- a/rhubarbbend/trace/_redaction.py
+++ b/rhubarbbend/trace/_redaction.py
@@ -21,13 +21,13 @@
 from returns.result import Success
 
 from rhubarbbend.core import actions, events
-from rhubarbbend.core.claims._claim_rows import CLAIM_TABLE, make_key, split_key
-from rhubarbbend.core.claims._claim_writes import OP_PREFIX as CLAIM_OP_PREFIX
+from rhubarbbend.core.claims._claim_rows import CLAIM_TABLE, make_table_key, split_table_key
+from rhubarbbend.core.claims._claim_writes import CLAIM_OP_PREFIX
 from rhubarbbend.core.claims._keys import (
     RESERVED_PREFIX,
-    decode_reserved,
-    encode_reserved,
-    is_reserved,
+    decode_reserved_key,
+    encode_reserved_key,
+    has_reserved_prefix,
     is_valid_key,
 )
 from rhubarbbend.core.messages import ReservedRun
@@ -68,7 +68,7 @@
 
 def _strip_key(account: str, key: str) -> str:
     """Redact a key in an action: a reserved one loses its signature."""
-    if not is_reserved(key):
+    if not has_reserved_prefix(key):
         return _redact_plain_key(key)
     return key.rpartition(".")[0]
 
@@ -85,8 +85,8 @@
 
 
 def _map_table_key(table_key: str, map_key: MapKey) -> str:
-    account, key = split_key(table_key)
-    return make_key(account, map_key(account, key)) if account else map_key("", table_key)
+    account, key = split_table_key(table_key)
+    return make_table_key(account, map_key(account, key)) if account else map_key("", table_key)
 
 
 def _redact_row(row: dict[str, Any], map_key: MapKey) -> None:
@@ -176,11 +176,11 @@
         return tree
 
     def _map_key(self, account: str, key: str) -> str:
-        if not is_reserved(key):
+        if not has_reserved_prefix(key):
             return _redact_plain_key(key)
-        found = decode_reserved(self._secret, account, key)
+        found = decode_reserved_key(self._secret, account, key)
         if isinstance(found, Success):
-            return encode_reserved(TRACE_SECRET, account, found.unwrap())
+            return encode_reserved_key(TRACE_SECRET, account, found.unwrap())
         return f"{RESERVED_PREFIX}{_digest(key.encode())}.{_FORGED}"
 
     def _sign_ticket(self, account: str, chat: str, text: str) -> str:
--- a/tests/core/accepted/test_follower.py
+++ b/tests/core/accepted/test_follower.py
@@ -153,7 +153,9 @@
         sender = action.peer
     assert len(sizes) > 2 and max(sizes) <= 500
     assert starter.context.config_ready
-    assert starter.context.configuration.list_after(0) == ready.context.configuration.list_after(0)
+    assert starter.context.configuration.list_changes_after(
+        0
+    ) == ready.context.configuration.list_changes_after(0)
 
 
 def test_a_lost_page_is_fetched_again() -> None:
@@ -293,7 +295,7 @@
     fresh = start_core("e9")
     fresh.handle(events.SnapshotRead("done", stored[0]), 1.0)
     assert fresh.context.configuration.version == 3
-    assert fresh.context.configuration.list_after(0) == [
+    assert fresh.context.configuration.list_changes_after(0) == [
         Item("zone", "a", 3, rows[2] and make_zone("a", True)[2])
     ]
 
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from rhubarbbend.core import events
-from rhubarbbend.core.claims._claim_rows import make_key
+from rhubarbbend.core.claims._claim_rows import make_table_key
 from tests.core.fakes import World
 
 ONE_INSTANCE = {"a1": "a"}
@@ -112,11 +112,11 @@
     world.settle()
     world.advance(3.0)
     assert world.read_answer("r1").verdict == "may_have_run"
-    assert world.cores["a1"].entry.count_open() == 1
+    assert world.cores["a1"].requests.count_open_requests() == 1
     world.finish(world.runs[0])
     world.send("a1", "r2", "k1")
     assert world.read_answer("r2").body == b"done"
-    assert world.cores["a1"].entry.count_open() == 0
+    assert world.cores["a1"].requests.count_open_requests() == 0
 
 
 def test_command_keeps_running_after_its_caller_disconnects() -> None:
@@ -184,7 +184,7 @@
     world.send("a1", "r2", "k1")
     world.settle()
     assert len(world.runs) == 2
-    assert make_key("a", "b/c") != make_key("a/b", "c")
+    assert make_table_key("a", "b/c") != make_table_key("a/b", "c")
 
 
 def test_replacement_instance_runs_no_command_of_its_predecessor() -> None:
--- a/tests/core/claims/test_settling.py
+++ b/tests/core/claims/test_ownership_change.py
@@ -3,12 +3,16 @@
 from __future__ import annotations
 
 from rhubarbbend.core import Core, actions, events
-from rhubarbbend.core._fleet import rank
+from rhubarbbend.core._fleet import compute_rendezvous_weight
 from rhubarbbend.core.messages import Heartbeat, SlotReply, SlotRequest, TargetLoad
 from tests.core.drive import introduce, make_row, pick, run_timers, scan, start_core
 from tests.core.test_service import ACCOUNT, BOOKING, ask, make_list, read_refusals, start_owner
 
-OTHER_INSTANCE = next(f"s{n}" for n in range(99) if rank("t1", f"s{n}") > rank("t1", "e1"))
+OTHER_INSTANCE = next(
+    f"s{n}"
+    for n in range(99)
+    if compute_rendezvous_weight("t1", f"s{n}") > compute_rendezvous_weight("t1", "e1")
+)
 
 
 def start_entry_instance() -> Core:
--- a/tests/core/directory/test_directory.py
+++ b/tests/core/directory/test_directory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rhubarbbend.core.directory import Directory, TargetRecord, TargetState
+from rhubarbbend.core.directory import TargetRecord, TargetRegistry, TargetState
 
 
 def make_record(
@@ -11,14 +11,14 @@
     return TargetRecord("t-1", "llm", "10.0.0.1", 8000, "a", 64, state, cold, boot)
 
 
-def list_available_ids(directory: Directory, now: float) -> list[str]:
+def list_available_ids(directory: TargetRegistry, now: float) -> list[str]:
     return [target.id for target in directory.list_available("llm", now)]
 
 
 def test_late_write_does_not_make_a_draining_target_ready_again() -> None:
     # A registration that the target wrote before it started to drain arrives after the one that
     # says that it drains.
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(), 0.0)
     directory.register(make_record(TargetState.DRAINING), 1.0)
     directory.register(make_record(), 1.1)
@@ -33,7 +33,7 @@
 
 
 def test_write_of_an_earlier_start_is_ignored() -> None:
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(boot=5), 0.0)
     directory.register(make_record(TargetState.DRAINING, boot=4), 1.0)
     assert list_available_ids(directory, 1.1) == ["t-1"]
@@ -43,49 +43,49 @@
     # During a store outage the target cannot renew its registration, and the store drops it on
     # recovery although the target is healthy. Without the grace period every target would be
     # removed at once.
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(), 0.0)
-    directory.note_store_returned(10.0)
+    directory.record_store_recovery(10.0)
     directory.unregister("t-1", 10.1)
     assert list_available_ids(directory, 11.7) == ["t-1"]
     directory.register(make_record(), 11.8)
-    assert directory.drop_gone(20.0) == []
-    directory.note_store_returned(30.0)
+    assert directory.expire_unregistered(20.0) == []
+    directory.record_store_recovery(30.0)
     directory.unregister("t-1", 30.1)
     assert list_available_ids(directory, 32.4) == []
-    assert [target.id for target in directory.drop_gone(32.4)] == ["t-1"]
+    assert [target.id for target in directory.expire_unregistered(32.4)] == ["t-1"]
 
 
 def test_target_that_leaves_right_after_store_recovery_is_removed_in_time() -> None:
     # An instance loses its connection to the store for a while. A second after the recovery a
     # target leaves and its registration is removed, which looks like an expired one. The target
     # may receive requests for at most two seconds more.
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(), 0.0)
-    directory.note_store_returned(14.1)
+    directory.record_store_recovery(14.1)
     directory.unregister("t-1", 15.0)
     assert list_available_ids(directory, 16.4) == []
     # The same holds for a target that leaves at the moment of the recovery.
     directory.register(make_record(boot=2), 20.0)
-    directory.note_store_returned(20.0)
+    directory.record_store_recovery(20.0)
     directory.unregister("t-1", 20.0)
     assert list_available_ids(directory, 21.6) == ["t-1"]
     assert list_available_ids(directory, 21.8) == []
 
 
 def test_unregistered_target_is_removed_at_once_while_the_store_answers() -> None:
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(), 0.0)
     directory.unregister("t-1", 10.0)
     assert list_available_ids(directory, 10.0) == []
 
 
 def test_zone_gets_no_requests_while_out_of_service_and_is_cold_after() -> None:
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(), 0.0)
-    directory.take_zone_out("a", 1.0)
+    directory.take_zone_out_of_service("a", 1.0)
     assert list_available_ids(directory, 1.0) == []
-    directory.take_zone_in("a", 5.0)
+    directory.return_zone_to_service("a", 5.0)
     assert list_available_ids(directory, 5.0) == ["t-1"]
     target = directory.find("t-1")
     assert target is not None
@@ -93,7 +93,7 @@
 
 
 def test_registration_updates_service_address_zone_and_slots() -> None:
-    directory = Directory()
+    directory = TargetRegistry()
     directory.register(make_record(), 0.0)
     moved = TargetRecord("t-1", "other", "10.0.0.2", 8001, "b", 6, TargetState.READY, 0.0, 1)
     directory.register(moved, 1.0)
--- a/tests/core/drive.py
+++ b/tests/core/drive.py
@@ -25,7 +25,7 @@
     core = make_core(name, zone, options=CoreOptions(**options))  # type: ignore[arg-type]
     core.handle(events.Started(1_000.0), now)
     core.handle(events.SnapshotRead("done"), now)
-    core.context.members_known = True
+    core.context.are_members_known = True
     return core
 
 
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -14,7 +14,7 @@
 from rhubarbbend.core import Core, CoreOptions, Identity, actions, events
 from rhubarbbend.core.configuration import Account, Item, Operation, Service
 from rhubarbbend.core.messages import ClaimQuery, ClaimReply, Message, ReservedReply, ReservedRun
-from rhubarbbend.core.requests._answers import make_peer_request
+from rhubarbbend.core.requests._responses import make_peer_request_id
 
 SECRET = b"a secret for tests of the core"
 ACCOUNT = "pilgrim-groups"
@@ -265,7 +265,7 @@
     def _perform(self, name: str, action: actions.Action) -> None:
         if isinstance(action, actions.SendReserved):
             assert isinstance(action.message, ReservedRun)
-            peer_request = make_peer_request(name, action.message.request)
+            peer_request = make_peer_request_id(name, action.message.request)
             self.forwarded[peer_request] = action.request
         if isinstance(action, actions.SendPeer | actions.SendReserved):
             self._send(PendingMessage(name, action.peer, action.message))
@@ -295,7 +295,7 @@
 
     def _send(self, pending: PendingMessage) -> None:
         if isinstance(pending.message, ReservedReply):
-            request = make_peer_request(pending.peer, pending.message.request)
+            request = make_peer_request_id(pending.peer, pending.message.request)
             self.answers.setdefault(request, [])
         self.messages.append(pending)
         if not (self.hold_messages and isinstance(pending.message, HELD_MESSAGE_TYPES)):
--- a/tests/core/owners/test_owner.py
+++ b/tests/core/owners/test_owner.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from rhubarbbend.core import events
-from rhubarbbend.core.accepted._follower import SCAN_OP
+from rhubarbbend.core.accepted._follower import CHANGE_SCAN_OP
 from rhubarbbend.core.configuration import Service
 from rhubarbbend.core.messages import Handover, HeldSlot, SlotRenewal, TargetLoad
 from rhubarbbend.core.owners._grants import (
     REFUSAL_FULL,
     REFUSAL_NOT_READY,
-    REFUSAL_QUEUE,
-    REFUSAL_WAIT,
+    REFUSAL_QUEUE_FULL,
+    REFUSAL_WAIT_TOO_LONG,
 )
 from tests.core.driver import HOLDERS, SERVICE, ZONE, Driver, list_instance, list_target
 
@@ -301,7 +301,7 @@
 def test_a_holder_that_was_only_cut_off_registers_its_slots_once() -> None:
     driver = make_owner(HIGH_FLOOR)
     held = [driver.ask(TARGET, holder="entry-b1") for _ in range(4)]
-    driver.core.owner.free_holder("entry-b1", 2, driver.now)
+    driver.core.owner.expire_holder_slots("entry-b1", 2, driver.now)
     driver.now += 1.0
     driver.report(TARGET, 4)
     slots = [HeldSlot(attempt=attempt) for attempt in held]
@@ -394,7 +394,7 @@
     for _ in range(2):
         driver.ask(TARGET, max_wait=9.0)
     late = driver.ask(TARGET, max_wait=1.2)
-    assert driver.find_refusal(late) == REFUSAL_WAIT
+    assert driver.find_refusal(late) == REFUSAL_WAIT_TOO_LONG
     assert driver.find_replies(late)[0].retry_after > 0.0
     assert driver.find_refusal(driver.ask(TARGET, max_wait=0.0)) == REFUSAL_FULL
 
@@ -426,7 +426,7 @@
     driver.report(TARGET, 0, slots=4)
     held = [driver.ask(TARGET, account="surge", max_wait=9.0) for _ in range(20)]
     evicted = driver.ask(TARGET, account="surge", max_wait=9.0)
-    assert driver.find_refusal(evicted) == REFUSAL_QUEUE
+    assert driver.find_refusal(evicted) == REFUSAL_QUEUE_FULL
     others = [driver.ask(TARGET, account="agents", max_wait=9.0) for _ in range(2)]
     for attempt in held[:4]:
         driver.release(TARGET, attempt)
@@ -439,7 +439,7 @@
         driver.ask(TARGET)
     waiting = driver.ask(TARGET, max_wait=1.0)
     driver.pass_time(1.1, 0.1)
-    assert driver.find_refusal(waiting) == REFUSAL_WAIT
+    assert driver.find_refusal(waiting) == REFUSAL_WAIT_TOO_LONG
 
 
 def test_waiters_are_refused_when_reports_fail() -> None:
@@ -506,12 +506,12 @@
         driver.handle(events.PeerLost(holder))
     for _ in range(6):
         driver.pass_time(1.0)
-        driver.handle(events.RowsRead(SCAN_OP, "failed"))
+        driver.handle(events.RowsRead(CHANGE_SCAN_OP, "failed"))
     assert driver.core.owner.list_owned() == [TARGET]
-    driver.handle(events.RowsRead(SCAN_OP, "done"))
+    driver.handle(events.RowsRead(CHANGE_SCAN_OP, "done"))
     driver.pass_time(1.0)
     assert sorted(driver.core.owner.list_owned()) == [TARGET, "engine-b1"]
     for _ in range(6):
         driver.pass_time(1.0)
-        driver.handle(events.RowsRead(SCAN_OP, "failed"))
+        driver.handle(events.RowsRead(CHANGE_SCAN_OP, "failed"))
     assert driver.core.owner.list_owned() == [TARGET]
--- a/tests/core/owners/test_ramp.py
+++ b/tests/core/owners/test_slow_start.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rhubarbbend.core.owners._ramp import SLOW_START_DOUBLINGS, Probation, SlowStart
+from rhubarbbend.core.owners._slow_start import SLOW_START_DOUBLINGS, Probation, SlowStart
 
 
 @given(slots=st.integers(1, 8), requests=st.integers(1, 40), done=st.integers(0, 400))
--- a/tests/core/placement/test_health.py
+++ b/tests/core/placement/test_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rhubarbbend.core.placement import HealthBook
+from rhubarbbend.core.placement import HealthTracker
 
 TARGETS = ("t1", "t2", "t3", "t4")
 
@@ -11,21 +11,21 @@
     # An instance is cut off from the network. One connect timeout may be a lost packet; a second
     # one in a row, at whatever target, is not. If each target had to time out twice, each request
     # that arrives meanwhile would wait for all of them in turn, 0.3 s, before it is rejected.
-    health = HealthBook()
-    health.note_timeout("t1", 0.0)
+    health = HealthTracker()
+    health.record_connect_timeout("t1", 0.0)
     assert not health.is_blocked("t1", 0.1)
-    health.note_timeout("t2", 0.1)
+    health.record_connect_timeout("t2", 0.1)
     assert health.is_blocked("t2", 0.2)
-    health.note_timeout("t3", 0.2)
+    health.record_connect_timeout("t3", 0.2)
     assert health.is_blocked("t3", 0.3)
 
 
 def test_connection_between_two_timeouts_shows_that_the_network_works() -> None:
     # Links lose packets, so now and then a connection to some target times out.
-    health = HealthBook()
-    health.note_timeout("t1", 0.0)
-    health.note_connected("t3", 0.05)
-    health.note_timeout("t2", 0.1)
+    health = HealthTracker()
+    health.record_connect_timeout("t1", 0.0)
+    health.record_connected("t3", 0.05)
+    health.record_connect_timeout("t2", 0.1)
     assert not health.is_blocked("t2", 0.2)
 
 
@@ -33,31 +33,31 @@
     # A target is unreachable for seconds. Without trials, all requests that arrive when its backoff
     # ends would go there and wait for the connect timeout; with them the first one does, and the
     # others go elsewhere meanwhile.
-    health = HealthBook()
-    until = health.note_unreachable("t1", 0.0)
+    health = HealthTracker()
+    until = health.record_unreachable("t1", 0.0)
     assert not health.is_blocked("t1", until)
     assert health.begin_trial("t1", until)
     assert health.is_blocked("t1", until + 0.05)
-    health.note_timeout("t1", until + 0.08)
+    health.record_connect_timeout("t1", until + 0.08)
     assert health.is_blocked("t1", until + 0.2)
 
 
 def test_target_that_accepts_a_connection_is_open_to_all_requests() -> None:
-    health = HealthBook()
-    until = health.note_unreachable("t1", 0.0)
+    health = HealthTracker()
+    until = health.record_unreachable("t1", 0.0)
     health.begin_trial("t1", until)
-    health.note_connected("t1", until)
+    health.record_connected("t1", until)
     assert not health.is_blocked("t1", until + 0.01)
     assert not health.begin_trial("t1", until + 0.01)
 
 
 def test_unreachable_targets_are_listed_until_they_accept_a_connection() -> None:
     # A request that has waited for one of them without success tries none of the others.
-    health = HealthBook()
+    health = HealthTracker()
     for target in TARGETS:
-        health.note_unreachable(target, 0.0)
-    health.note_connected("t2", 0.0)
-    assert health.list_lost() == {"t1", "t3", "t4"}
+        health.record_unreachable(target, 0.0)
+    health.record_connected("t2", 0.0)
+    assert health.list_unreachable() == {"t1", "t3", "t4"}
 
 
 def test_unreachable_target_makes_its_zone_suspect_except_recent_contacts() -> None:
@@ -67,15 +67,15 @@
     target of the zone would run into its own timeout; a suspected target is tried with one new
     connection instead.
     """
-    health = HealthBook()
+    health = HealthTracker()
     for target in TARGETS:
-        health.note_answer(target, False, 0.0)
-    health.note_answer("t3", False, 0.9)
-    health.note_unreachable("t1", 1.0)
-    assert health.suspect_zone(["t2", "t3"], 1.0) == ["t2"]
-    assert health.list_lost() == {"t1", "t2"}
+        health.record_response(target, False, 0.0)
+    health.record_response("t3", False, 0.9)
+    health.record_unreachable("t1", 1.0)
+    assert health.mark_zone_suspect(["t2", "t3"], 1.0) == ["t2"]
+    assert health.list_unreachable() == {"t1", "t2"}
     # A suspected target may be tried at once, by one request at a time.
     assert not health.is_blocked("t2", 1.0)
     assert health.begin_trial("t2", 1.0) and health.is_blocked("t2", 1.05)
-    health.note_connected("t2", 1.06)
-    assert health.list_lost() == {"t1"}
+    health.record_connected("t2", 1.06)
+    assert health.list_unreachable() == {"t1"}
--- a/tests/core/placement/test_loads.py
+++ b/tests/core/placement/test_loads.py
@@ -12,14 +12,14 @@
 from random import Random
 
 from rhubarbbend.core.catalog import Engine, Service
-from rhubarbbend.core.directory import Directory, TargetRecord, TargetState
+from rhubarbbend.core.directory import TargetRecord, TargetRegistry, TargetState
 from rhubarbbend.core.placement import (
-    HealthBook,
-    LoadBook,
-    Place,
+    HealthTracker,
+    LoadTracker,
     Placement,
     PlacementOptions,
     Prompt,
+    PromptLocation,
     PromptPart,
     TargetLoad,
 )
@@ -43,17 +43,17 @@
     """One instance's view of the same 30 engines."""
 
     def __init__(self, name: str) -> None:
-        self.loads = LoadBook()
-        self.directory = Directory()
+        self.loads = LoadTracker()
+        self.registry = TargetRegistry()
         for number in range(30):
             record = TargetRecord(
                 f"e{number}", "llm", "10.0.0.1", 80, "abc"[number % 3], 64, TargetState.READY
             )
-            self.directory.register(record, -100.0)
-        self.directory.finish_first_read()
+            self.registry.register(record, -100.0)
+        self.registry.mark_initial_read_complete()
         cold = ColdAllowance(name, 1.5, 5.0)
         options = PlacementOptions("a", FACTOR)
-        self.placement = Placement(options, self.directory, self.loads, HealthBook(), cold)
+        self.placement = Placement(options, self.registry, self.loads, HealthTracker(), cold)
         self.last_exchange_at = 0.0
 
 
@@ -71,10 +71,10 @@
         while events and events[0][0] <= now:
             at, _, engine, number, is_end = heapq.heappop(events)
             if is_end:
-                fleet[number].loads.end(engine)
+                fleet[number].loads.record_end(engine)
                 held[engine] -= 1
             else:
-                fleet[number].loads.take_report(engine, held[engine], at)
+                fleet[number].loads.record_report(engine, held[engine], at)
         if exchanges_reports and now >= next_exchange:
             exchange_reports(fleet, now)
             next_exchange = now + EXCHANGE_INTERVAL_S
@@ -87,8 +87,8 @@
         total += now > WARM_UP_S
         over += now > WARM_UP_S and held[engine] > FACTOR * sum(held.values()) / len(held) + SLACK
         held[engine] += 1
-        fleet[number].loads.begin(engine)
-        fleet[number].placement.note_sent(choice, prompt, now, now)
+        fleet[number].loads.record_start(engine)
+        fleet[number].placement.record_sent(choice, prompt, now, now)
         heapq.heappush(events, (now + FIRST_EVENT_S, random.random(), engine, number, False))
         ends = now + random.uniform(1.0, 2.0)
         heapq.heappush(events, (ends, random.random(), engine, number, True))
@@ -97,14 +97,14 @@
 
 def exchange_reports(fleet: list[SimulatedInstance], now: float) -> None:
     reports: list[TargetLoad] = []
-    locations: list[Place] = []
+    locations: list[PromptLocation] = []
     for instance in fleet:
-        locations += instance.placement.places.take_news(now)
-        reports += instance.loads.list_since(instance.last_exchange_at, False, now)
+        locations += instance.placement.prompt_locations.pop_updates(now)
+        reports += instance.loads.list_reports_since(instance.last_exchange_at, False, now)
         instance.last_exchange_at = now
     for instance in fleet:
-        instance.loads.hear(reports, True, now)
-        instance.placement.places.hear(locations, now)
+        instance.loads.merge_reports(reports, True, now)
+        instance.placement.prompt_locations.merge_locations(locations, now)
 
 
 def test_hot_prompt_stays_within_the_bound_if_instances_exchange_reports() -> None:
@@ -120,14 +120,14 @@
 
 
 def test_relayed_report_replaces_an_older_one() -> None:
-    tracker = LoadBook()
-    tracker.begin("e")
-    tracker.take_report("e", 5, 10.0)
-    tracker.hear([TargetLoad("e", 30, 2.0)], True, 11.0)
+    tracker = LoadTracker()
+    tracker.record_start("e")
+    tracker.record_report("e", 5, 10.0)
+    tracker.merge_reports([TargetLoad("e", 30, 2.0)], True, 11.0)
     assert tracker.estimate("e", True, 10.0) == 5.0
-    tracker.hear([TargetLoad("e", 30, 0.5)], True, 11.0)
+    tracker.merge_reports([TargetLoad("e", 30, 0.5)], True, 11.0)
     assert tracker.estimate("e", True, 10.5) == 30.0
     # It is sent on to the instances that read from this one, but not to the relays it came from.
-    assert tracker.list_since(10.9, True, 11.0) == [TargetLoad("e", 30, 0.5)]
-    assert tracker.list_since(10.9, False, 11.0) == []
-    assert tracker.list_since(10.9, True, 20.0) == []
+    assert tracker.list_reports_since(10.9, True, 11.0) == [TargetLoad("e", 30, 0.5)]
+    assert tracker.list_reports_since(10.9, False, 11.0) == []
+    assert tracker.list_reports_since(10.9, True, 20.0) == []
--- a/tests/core/placement/test_overload.py
+++ b/tests/core/placement/test_overload.py
@@ -12,7 +12,14 @@
 
 import pytest
 
-from rhubarbbend.core.placement import Prompt, PromptPart, Reason, Scope, Teller, compute_tag
+from rhubarbbend.core.placement import (
+    CountScope,
+    InFlightPublisher,
+    Prompt,
+    PromptPart,
+    Reason,
+    compute_target_hash,
+)
 from tests.core.placement.test_placement import ENGINES, INSTANCES, FleetView
 
 FACTOR, SLACK = 2.0, 3.0
@@ -28,9 +35,9 @@
 def make_view() -> FleetView:
     """Make an instance's view of three engines that are available and six that are idle."""
     view = FleetView()
-    view.loads.expected = 0
-    view.directory.take_zone_out("b", 0.0)
-    view.directory.take_zone_out("c", 0.0)
+    view.loads.expected_peers = 0
+    view.registry.take_zone_out_of_service("b", 0.0)
+    view.registry.take_zone_out_of_service("c", 0.0)
     return view
 
 
@@ -43,7 +50,7 @@
 
     def __init__(self) -> None:
         self.fleet = {name: make_view() for name in INSTANCES}
-        self.publishers = {name: Teller(name) for name in INSTANCES}
+        self.publishers = {name: InFlightPublisher(name) for name in INSTANCES}
         self.ends: list[tuple[float, str, str]] = []
         self.sent = self.over = 0
 
@@ -54,7 +61,7 @@
             now += random.expovariate(REQUESTS_PER_S)
             while self.ends and self.ends[0][0] <= now:
                 _, name, engine = heapq.heappop(self.ends)
-                self.fleet[name].loads.end(engine)
+                self.fleet[name].loads.record_end(engine)
             if now >= update_at:
                 self.send_updates(now)
                 update_at = now + UPDATE_INTERVAL_S
@@ -63,25 +70,29 @@
     def send_updates(self, now: float) -> None:
         """Let each instance send its counts to all others."""
         for name, view in self.fleet.items():
-            view.loads.expected = len(INSTANCES) - 1
-            own = {compute_tag(e): count for e, count in view.loads.list_own().items()}
-            update = self.publishers[name].prepare("all", Scope.PART, own, 1, now)
+            view.loads.expected_peers = len(INSTANCES) - 1
+            own = {
+                compute_target_hash(e): count for e, count in view.loads.get_own_counts().items()
+            }
+            update = self.publishers[name].prepare_update(
+                "all", CountScope.SENDER_GROUP, own, 1, now
+            )
             for other in self.fleet.keys() - {name}:
                 if update is not None:
-                    self.fleet[other].loads.hear_instance(update, now)
+                    self.fleet[other].loads.record_peer_update(update, now)
 
     def send(self, name: str, random: Random, now: float) -> None:
         """Let an instance send or reject one request."""
         view = self.fleet[name]
         choice = view.choose(make_prompt(f"chat-{random.randrange(200)}"), now, random=random)
         if choice is None:
-            assert view.placement.last_shut == {"load": 3}
+            assert view.placement.last_rejections == {"load": 3}
             return
         engine = choice.target.id
         held = {e: sum(v.loads.count_own(e) for v in self.fleet.values()) for e in view.engines}
         self.sent += 1
         self.over += held[engine] > FACTOR * sum(held.values()) / len(held) + SLACK
-        view.loads.begin(engine)
+        view.loads.record_start(engine)
         heapq.heappush(self.ends, (now + REQUEST_TIME_S, name, engine))
 
 
@@ -98,7 +109,7 @@
     view = make_view()
     load_available_engines(view, 30)
     assert view.placement.choose(ENGINES, None, set(), INSTANCES, Random(1), 10.0) is None
-    assert view.placement.last_shut == {"load": 3}
+    assert view.placement.last_rejections == {"load": 3}
 
 
 def load_available_engines(view: FleetView, requests: int) -> None:
@@ -115,8 +126,8 @@
     assert view.choose() is None
     if why == "others lost":
         for engine in view.engines[1:3] + view.engines[4:6] + view.engines[7:]:
-            view.health.note_unreachable(engine, 9.0)
+            view.health.record_unreachable(engine, 9.0)
     elif why == "others silent":
-        view.loads.expected = 5
+        view.loads.expected_peers = 5
     choice = view.choose(excluded={"engine-9"} if why == "begun elsewhere" else None)
     assert choice is not None and choice.reason is not Reason.HOME
--- a/tests/core/placement/test_placement.py
+++ b/tests/core/placement/test_placement.py
@@ -9,11 +9,11 @@
 
 from rhubarbbend.core._rendezvous import rank_names
 from rhubarbbend.core.catalog import Engine, Service
-from rhubarbbend.core.directory import Directory, TargetRecord, TargetState
+from rhubarbbend.core.directory import TargetRecord, TargetRegistry, TargetState
 from rhubarbbend.core.placement import (
     Choice,
-    HealthBook,
-    LoadBook,
+    HealthTracker,
+    LoadTracker,
     Placement,
     PlacementOptions,
     Prompt,
@@ -38,17 +38,17 @@
     """Nine engines and three plain targets in three zones, as one instance sees them."""
 
     def __init__(self) -> None:
-        self.directory = Directory()
-        self.loads = LoadBook()
-        self.health = HealthBook()
+        self.registry = TargetRegistry()
+        self.loads = LoadTracker()
+        self.health = HealthTracker()
         self.cold = ColdAllowance("a-1", 1.5, 5.0)
         options = PlacementOptions("a", 2.0)
-        self.placement = Placement(options, self.directory, self.loads, self.health, self.cold)
+        self.placement = Placement(options, self.registry, self.loads, self.health, self.cold)
         self.engines = [f"engine-{number}" for number in range(9)]
         for number, engine in enumerate(self.engines):
-            self.directory.register(make_record(engine, "llm", "abc"[number % 3]), -100.0)
+            self.registry.register(make_record(engine, "llm", "abc"[number % 3]), -100.0)
         for zone in "abc":
-            self.directory.register(make_record(f"plain-{zone}", "bookings", zone), -100.0)
+            self.registry.register(make_record(f"plain-{zone}", "bookings", zone), -100.0)
 
     def choose(
         self,
@@ -63,7 +63,7 @@
 
     def start_requests(self, target: str, requests: int) -> None:
         for _ in range(requests):
-            self.loads.begin(target)
+            self.loads.record_start(target)
 
     @property
     def home(self) -> str:
@@ -97,11 +97,11 @@
     # hot key would receive requests at over twice the mean.
     view = FleetView()
     for engine in view.engines:
-        target = view.directory.find(engine)
+        target = view.registry.find(engine)
         assert target is not None
         if target.zone != "b":
             view.start_requests(engine, 6)
-    view.directory.take_zone_out("b", 0.0)
+    view.registry.take_zone_out_of_service("b", 0.0)
     home = next(
         name for name in rank_names(CHAT.affinity_key, view.engines) if name[-1] not in "147"
     )
@@ -115,7 +115,7 @@
 
 def test_cold_home_is_skipped_while_warm_targets_are_below_the_bound() -> None:
     view = FleetView()
-    view.directory.register(make_record(view.home, "llm", "a", boot=5, cold_left=3.0), 9.0)
+    view.registry.register(make_record(view.home, "llm", "a", boot=5, cold_left=3.0), 9.0)
     choice = view.choose(now=10.0)
     assert choice is not None and choice.target.id != view.home
     later = view.choose(now=13.0)
@@ -127,15 +127,15 @@
     # second is divided among six instances, so each sends three.
     view = FleetView()
     for engine in view.engines[1:]:
-        view.directory.unregister(engine, 0.0)
+        view.registry.unregister(engine, 0.0)
     only = view.engines[0]
-    view.directory.register(make_record(only, "llm", "a", boot=5, cold_left=30.0), 9.0)
+    view.registry.register(make_record(only, "llm", "a", boot=5, cold_left=30.0), 9.0)
     sent = 0
     for step in range(100):
         now = 10.0 + step * 0.01
         choice = view.choose(now=now)
         if choice is not None:
-            view.placement.note_chosen(choice.target, now)
+            view.placement.record_chosen(choice.target, now)
             sent += 1
     assert sent == 3
 
@@ -144,18 +144,18 @@
     view = FleetView()
     first = view.choose()
     assert first is not None
-    view.placement.note_sent(first, CHAT, 10.0, 10.0)
+    view.placement.record_sent(first, CHAT, 10.0, 10.0)
     # A new engine becomes the home of the chat, and the one that has it cached leaves.
     newcomer = next(
         name
         for name in (f"new-{number}" for number in range(1_000))
         if rank_names(CHAT.affinity_key, [*view.engines, name])[0] == name
     )
-    view.directory.register(make_record(newcomer, "llm", "a"), 11.0)
+    view.registry.register(make_record(newcomer, "llm", "a"), 11.0)
     holder = view.choose(now=12.0)
     assert holder is not None and (holder.target, holder.reason) == (first.target, Reason.HELD)
     leaving = make_record(first.target.id, "llm", first.target.zone, state=TargetState.DRAINING)
-    view.directory.register(leaving, 12.0)
+    view.registry.register(leaving, 12.0)
     choice = view.choose(now=12.0)
     assert choice is not None and choice.target.id == newcomer
     assert choice.source is not None and choice.source.id == first.target.id
@@ -166,14 +166,14 @@
     view = FleetView()
     excluded: set[str] = set()
     for engine in view.engines[1:]:
-        view.directory.unregister(engine, 0.0)
+        view.registry.unregister(engine, 0.0)
     only = view.engines[0]
     if state == "zone out":
-        view.directory.take_zone_out("a", 0.0)
+        view.registry.take_zone_out_of_service("a", 0.0)
     elif state == "draining":
-        view.directory.register(make_record(only, "llm", "a", state=TargetState.DRAINING), 9.0)
+        view.registry.register(make_record(only, "llm", "a", state=TargetState.DRAINING), 9.0)
     elif state == "unreachable":
-        view.health.note_unreachable(only, 9.9)
+        view.health.record_unreachable(only, 9.9)
     else:
         excluded = {only}
     assert view.choose(excluded=excluded) is None
@@ -193,54 +193,54 @@
     # A target fails part of its requests although it reports that it is healthy.
     view = FleetView()
     for number in range(8):
-        view.health.note_answer("plain-a", number % 2 == 0, 9.0)
-        view.health.note_answer("plain-b", False, 9.0)
-        view.health.note_answer("plain-c", False, 9.0)
+        view.health.record_response("plain-a", number % 2 == 0, 9.0)
+        view.health.record_response("plain-b", False, 9.0)
+        view.health.record_response("plain-c", False, 9.0)
     choice = view.choose(None)
     assert choice is not None and choice.target.id != "plain-a"
 
 
 def test_no_target_is_avoided_if_all_fail_alike() -> None:
-    health = HealthBook()
+    health = HealthTracker()
     for target in ("x", "y", "z"):
         for _ in range(8):
-            health.note_answer(target, True, 9.0)
+            health.record_response(target, True, 9.0)
     assert health.list_failing(["x", "y", "z"], 9.0) == set()
 
 
 def test_weight_of_a_load_report_falls_with_its_age() -> None:
-    loads = LoadBook()
-    loads.begin("x")
-    loads.take_report("x", 7, 10.0)
+    loads = LoadTracker()
+    loads.record_start("x")
+    loads.record_report("x", 7, 10.0)
     assert loads.estimate("x", True, 10.0) == 7.0
     assert 1.0 < loads.estimate("x", True, 12.0) < 7.0
     assert loads.estimate("x", True, 20.0) == 1.0
-    loads.end("x")
+    loads.record_end("x")
     assert loads.estimate("x", True, 20.0) == 0.0
 
 
 def test_backoff_of_an_unreachable_target_grows_and_ends() -> None:
-    health = HealthBook()
-    assert health.note_unreachable("x", 0.0) == pytest.approx(0.25)
+    health = HealthTracker()
+    assert health.record_unreachable("x", 0.0) == pytest.approx(0.25)
     assert health.is_blocked("x", 0.2) and not health.is_blocked("x", 0.3)
-    assert health.note_unreachable("x", 0.3) == pytest.approx(0.8)
+    assert health.record_unreachable("x", 0.3) == pytest.approx(0.8)
     for step in range(10):
-        health.note_unreachable("x", 10.0 + step * 10.0)
-    assert health.note_unreachable("x", 200.0) == pytest.approx(200.6)
-    health.note_answer("x", False, 200.5)
+        health.record_unreachable("x", 10.0 + step * 10.0)
+    assert health.record_unreachable("x", 200.0) == pytest.approx(200.6)
+    health.record_response("x", False, 200.5)
     assert not health.is_blocked("x", 200.55)
 
 
 def test_one_lost_packet_does_not_block_a_target() -> None:
     # A link loses one packet in twenty. The first packet of a new connection is retransmitted only
     # after a second, so such a connection times out although its target is healthy.
-    health = HealthBook()
-    health.note_timeout("x", 0.0)
+    health = HealthTracker()
+    health.record_connect_timeout("x", 0.0)
     assert not health.is_blocked("x", 0.0)
-    health.note_answer("x", False, 0.5)
-    health.note_timeout("x", 1.0)
+    health.record_response("x", False, 0.5)
+    health.record_connect_timeout("x", 1.0)
     assert not health.is_blocked("x", 1.0)
-    health.note_timeout("x", 2.0)
+    health.record_connect_timeout("x", 2.0)
     assert health.is_blocked("x", 2.1)
 
 
@@ -248,17 +248,17 @@
     # An engine crashes and restarts under the same id with an empty cache. Requests sent to it
     # before the restart are no reason to send the chat there rather than to its home.
     view = FleetView()
-    view.directory.finish_first_read()
+    view.registry.mark_initial_read_complete()
     second = rank_names(CHAT.affinity_key, view.engines)[1]
     view.start_requests(view.home, 12)
     moved = view.choose()
     assert moved is not None and moved.target.id == second
-    view.placement.note_sent(moved, CHAT, 10.0, 10.0)
+    view.placement.record_sent(moved, CHAT, 10.0, 10.0)
     for _ in range(12):
-        view.loads.end(view.home)
+        view.loads.record_end(view.home)
     held = view.choose(now=11.0)
     assert held is not None and (held.target.id, held.reason) == (second, Reason.HELD)
-    view.directory.register(make_record(second, "llm", held.target.zone, boot=9), 12.0)
+    view.registry.register(make_record(second, "llm", held.target.zone, boot=9), 12.0)
     home = view.choose(now=13.0)
     assert home is not None and (home.target.id, home.reason) == (view.home, Reason.HOME)
 
@@ -266,12 +266,12 @@
 def test_prompts_are_fetched_from_a_zone_out_of_service_within_the_grace() -> None:
     view = FleetView()
     options = PlacementOptions("a", 2.0, SourceOptions(evacuation_grace=5.0))
-    placement = Placement(options, view.directory, view.loads, view.health, view.cold)
+    placement = Placement(options, view.registry, view.loads, view.health, view.cold)
     view.placement = placement
     first = view.choose()
     assert first is not None
-    placement.note_sent(first, CHAT, 10.0, 10.0)
-    view.directory.take_zone_out(first.target.zone, 10.5)
+    placement.record_sent(first, CHAT, 10.0, 10.0)
+    view.registry.take_zone_out_of_service(first.target.zone, 10.5)
     early = view.choose(now=12.0)
     assert early is not None and early.source is first.target
     late = view.choose(now=15.0)
--- a/tests/core/placement/test_places.py
+++ b/tests/core/placement/test_places.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rhubarbbend.core.placement import Place, PromptLocationTracker
+from rhubarbbend.core.placement import PromptLocation, PromptLocationTracker
 
 
 def list_target_ids(tracker: PromptLocationTracker, key: str, now: float) -> list[str]:
@@ -22,22 +22,22 @@
 def test_received_locations_are_ordered_by_age_and_not_by_arrival() -> None:
     tracker = PromptLocationTracker()
     tracker.record_sent("chat", "a", False, 10.0)
-    tracker.hear([Place("chat", "b", 5.0)], 11.0)
+    tracker.merge_locations([PromptLocation("chat", "b", 5.0)], 11.0)
     assert list_target_ids(tracker, "chat", 11.0) == ["a", "b"]
-    tracker.hear([Place("chat", "c", 0.1)], 11.0)
+    tracker.merge_locations([PromptLocation("chat", "c", 0.1)], 11.0)
     assert list_target_ids(tracker, "chat", 11.0) == ["c", "a", "b"]
 
 
 def test_pending_locations_are_returned_once_with_the_latest_target() -> None:
     notified: list[int] = []
     tracker = PromptLocationTracker()
-    tracker.on_news = lambda: notified.append(1)
+    tracker.on_update = lambda: notified.append(1)
     tracker.record_sent("chat", "home", False, 0.0)
-    assert tracker.take_news(0.0) == [] and notified == []
+    assert tracker.pop_updates(0.0) == [] and notified == []
     tracker.record_sent("chat", "a", True, 1.0)
     tracker.record_sent("chat", "b", True, 1.5)
-    assert tracker.take_news(2.0) == [Place("chat", "b", 0.5)] and len(notified) == 2
-    assert tracker.take_news(2.0) == []
+    assert tracker.pop_updates(2.0) == [PromptLocation("chat", "b", 0.5)] and len(notified) == 2
+    assert tracker.pop_updates(2.0) == []
 
 
 def test_locations_expire_and_recent_ones_are_listed() -> None:
@@ -46,7 +46,7 @@
     tracker.record_sent("old", "a", False, 0.0)
     tracker.record_sent("new", "b", False, 50.0)
     assert list_target_ids(tracker, "old", 70.0) == []
-    assert tracker.list_recent(70.0) == [Place("new", "b", 20.0)]
+    assert tracker.list_recent(70.0) == [PromptLocation("new", "b", 20.0)]
 
 
 def test_number_of_prompts_is_bounded() -> None:
--- a/tests/core/placement/test_sources.py
+++ b/tests/core/placement/test_sources.py
@@ -16,7 +16,7 @@
 def make_view() -> FleetView:
     view = FleetView()
     options = PlacementOptions("a", 2.0, SourceOptions(drain_time=DRAIN_TIME_S))
-    view.placement = Placement(options, view.directory, view.loads, view.health, view.cold)
+    view.placement = Placement(options, view.registry, view.loads, view.health, view.cold)
     return view
 
 
@@ -24,15 +24,15 @@
     """Send the chat to its home target and return the target's id."""
     choice = view.choose(now=now)
     assert choice is not None
-    view.placement.note_sent(choice, CHAT, now, now)
+    view.placement.record_sent(choice, CHAT, now, now)
     return choice.target.id
 
 
 def unregister(view: FleetView, target: str, now: float) -> None:
-    found = view.directory.find(target)
+    found = view.registry.find(target)
     assert found is not None
-    view.directory.unregister(target, now)
-    view.placement.note_departure(found, now)
+    view.registry.unregister(target, now)
+    view.placement.record_departure(found, now)
 
 
 @pytest.mark.parametrize(("sent_after", "is_fetched"), [(0.5, True), (1.9, True), (2.1, False)])
@@ -46,7 +46,7 @@
     """
     view = make_view()
     home = send_home(view, 10.0)
-    view.loads.take_report(home, 1, 10.2)
+    view.loads.record_report(home, 1, 10.2)
     unregister(view, home, 11.0)
     choice = view.choose(now=11.0 + sent_after)
     assert choice is not None and choice.target.id != home
@@ -58,10 +58,10 @@
     # may still be fetched from the zone.
     view = make_view()
     home = send_home(view, 10.0)
-    found = view.directory.find(home)
+    found = view.registry.find(home)
     assert found is not None
-    view.directory.take_zone_out(found.zone, 10.1)
-    view.loads.take_report(home, 1, 10.2)
+    view.registry.take_zone_out_of_service(found.zone, 10.1)
+    view.loads.record_report(home, 1, 10.2)
     unregister(view, home, 11.0)
     choice = view.choose(now=11.5)
     assert choice is not None and (choice.source is None or choice.source.id != home)
@@ -71,7 +71,7 @@
     # Its registration expires after three missed heartbeats, so it has not responded for longer.
     view = make_view()
     home = send_home(view, 10.0)
-    view.loads.take_report(home, 1, 10.2)
+    view.loads.record_report(home, 1, 10.2)
     unregister(view, home, 13.9)
     choice = view.choose(now=14.0)
     assert choice is not None and (choice.source is None or choice.source.id != home)
@@ -84,7 +84,7 @@
     the prompt again although the target that served it a moment before still has all of it cached.
     """
     view = make_view()
-    view.directory.finish_first_read()
+    view.registry.mark_initial_read_complete()
     first = view.choose(now=10.0)
     assert first is not None and first.target.id == view.home
     assert first.source is not None
@@ -101,14 +101,14 @@
     sent it last. The zone would then stay idle, and the others hold over twice the mean load.
     """
     view = make_view()
-    locations = view.placement.places
-    view.directory.finish_first_read()
+    locations = view.placement.prompt_locations
+    view.registry.mark_initial_read_complete()
     home = view.choose(now=10.0)
     assert home is not None
-    view.placement.note_sent(msgspec.structs.replace(home, source=None), CHAT, 10.0, 10.0)
-    assert locations.take_news(10.0) == []
+    view.placement.record_sent(msgspec.structs.replace(home, source=None), CHAT, 10.0, 10.0)
+    assert locations.pop_updates(10.0) == []
     view.start_requests(view.home, 12)
     moved = view.choose(now=11.0)
     assert moved is not None and moved.target.id != view.home
-    view.placement.note_sent(moved, CHAT, 11.0, 11.0)
-    assert [location.target for location in locations.take_news(11.0)] == [moved.target.id]
+    view.placement.record_sent(moved, CHAT, 11.0, 11.0)
+    assert [location.target for location in locations.pop_updates(11.0)] == [moved.target.id]
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -41,7 +41,7 @@
 def get_state(configuration: Configuration) -> tuple[int, list[Item], dict[str, bool]]:
     """Return everything that copies must agree on."""
     zones = {name: zone.in_service for name, zone in configuration.zones.items()}
-    return configuration.version, configuration.list_after(0), zones
+    return configuration.version, configuration.list_changes_after(0), zones
 
 
 @given(LOGS, st.data())
@@ -59,7 +59,7 @@
     for update_version in [*update_versions, len(versions)]:
         source = build_configuration(versions[:update_version])
         before = get_state(copy)
-        applied = copy.apply(source.version, source.list_after(copy.version))
+        applied = copy.apply(source.version, source.list_changes_after(copy.version))
         assert copy.version == max(before[0], update_version)
         assert applied == (update_version > before[0])
         if not applied:
@@ -73,18 +73,18 @@
     log: list[list[tuple[str, bool | None]]], after: int, size: int
 ) -> None:
     source = build_configuration(make_items(log))
-    all_changes = source.list_after(after)
+    all_changes = source.list_changes_after(after)
     assert all_changes == sorted(all_changes, key=lambda i: (i.version, i.kind, i.name))
     paged_changes: list[Item] = []
     position = Position(after + 1)
     while True:
-        page = source.list_from(position, size)
+        page = source.list_changes_from(position, size)
         paged_changes.extend(page)
         if len(page) < size:
             break
         position = Position(page[-1].version, page[-1].kind, page[-1].name)
     assert paged_changes == all_changes
-    expected = {(i.kind, i.name): i for i in source.list_after(0) if i.version > after}
+    expected = {(i.kind, i.name): i for i in source.list_changes_after(0) if i.version > after}
     assert {(i.kind, i.name): i for i in all_changes} == expected
 
 
@@ -103,7 +103,7 @@
         configuration.apply(version, [Item("zone", "z", version, b'{"name": "z"}')])
     # Obsolete positions are removed, so memory does not grow with the number of changes.
     assert len(configuration._positions) <= 2 * (len(items) + 1) + 1
-    assert [item.version for item in configuration.list_after(19_990)] == [19_999]
+    assert [item.version for item in configuration.list_changes_after(19_990)] == [19_999]
 
 
 def test_undecodable_declaration_does_not_block_later_changes() -> None:
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -92,14 +92,14 @@
         if view is None:
             continue
         view.load, view.ready, view.leaving, view.updated = load, ready, leaving, 1.0
-        fleet.note_target(view, configuration)
+        fleet.update_load_sums(view, configuration)
         if load == 9:
             fleet.remove_target(view.id)
     ready_views = [
         v for v in fleet.targets.values() if v.ready and not v.leaving and v.updated >= 0
     ]
     expected = (sum(view.load for view in ready_views), len(ready_views))
-    assert fleet.compute_mean(Service(name="planner"), configuration) == expected
+    assert fleet.compute_total_load(Service(name="planner"), configuration) == expected
 
 
 def test_sums_of_a_silent_zone_expire() -> None:
@@ -108,18 +108,18 @@
     fleet = make_fleet("entry-0", [("entry-0", ZONES[0])])
     configuration = Configuration()
     fleet.zone_sums[ZONES[1]] = ZoneSums(10.0, {"planner": LoadSum(900, 10)})
-    assert fleet.compute_mean(Service(name="planner"), configuration) == (900, 10)
-    fleet.drop_stale(configuration, oldest=9.0)
-    assert fleet.compute_mean(Service(name="planner"), configuration) == (900, 10)
-    fleet.drop_stale(configuration, oldest=11.0)
-    assert fleet.compute_mean(Service(name="planner"), configuration) == (0, 0)
+    assert fleet.compute_total_load(Service(name="planner"), configuration) == (900, 10)
+    fleet.expire_loads(configuration, oldest=9.0)
+    assert fleet.compute_total_load(Service(name="planner"), configuration) == (900, 10)
+    fleet.expire_loads(configuration, oldest=11.0)
+    assert fleet.compute_total_load(Service(name="planner"), configuration) == (0, 0)
 
 
 def test_unreachable_instance_of_another_zone_owns_its_targets_until_the_timeout() -> None:
     members = [("entry-0", ZONES[0]), ("entry-1", ZONES[1]), ("entry-2", ZONES[2])]
     fleet = make_fleet("entry-0", members)
     target = next(view for view in fleet.targets.values() if view.zone == ZONES[1])
-    fleet.instances["entry-1"].lost_since = 1.0
+    fleet.instances["entry-1"].unreachable_since = 1.0
     assert not fleet.refresh_live(2.0)
     assert fleet.find_owner(target) == "entry-1"
     assert not fleet.is_reachable("entry-1")
--- a/tests/core/test_stop.py
+++ b/tests/core/test_stop.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rhubarbbend.core import actions, events
-from rhubarbbend.core._fleet import rank
+from rhubarbbend.core._fleet import compute_rendezvous_weight
 from rhubarbbend.core.claims._key_issuer import KeyIssuer
 from rhubarbbend.core.messages import Handover, Heartbeat, ZoneQuery
 from tests.core.drive import introduce, pick, run_timers, scan, start_core
@@ -58,7 +58,11 @@
     """
     core = start_owner(("t1", "a", "live"))
     # An instance that ranks after e1 in the rendezvous order of the target.
-    name = next(f"s{n}" for n in range(99) if rank("t1", f"s{n}") < rank("t1", "e1"))
+    name = next(
+        f"s{n}"
+        for n in range(99)
+        if compute_rendezvous_weight("t1", f"s{n}") < compute_rendezvous_weight("t1", "e1")
+    )
     introduce(core, start_core(name), 3.6)
     core.handle(events.PeerSaid(name, Heartbeat(instance=name, zone="a", host="h")), 4.0)
     introduce(core, start_core("e2", zone="b"), 4.0)
--- a/tests/core/test_suspects.py
+++ b/tests/core/test_suspects.py
@@ -42,7 +42,7 @@
     world = World(ZONE_BY_INSTANCE)
     crash_engine(world, dispatch_chat(world, "a1", "r1", "good"), silent=True)
     crash_engine(world, world.runs[-1], silent=True)
-    assert not world.cores["a1"].suspects.count_crashes("good")
+    assert not world.cores["a1"].suspects.get_crash_count("good")
 
 
 def test_one_crash_counts_once_for_each_request() -> None:
@@ -52,7 +52,7 @@
     notice = CrashNotice(crashes=[CrashCount(digest="x", count=1, last_target="boot-1")])
     for _ in range(2):
         world.feed("a1", events.PeerSaid("b1", notice))
-    assert world.cores["a1"].suspects.count_crashes("x") == 1
+    assert world.cores["a1"].suspects.get_crash_count("x") == 1
 
 
 def test_completed_request_is_no_longer_a_suspect() -> None:
@@ -60,9 +60,9 @@
     that a later crash on its target counts as its first."""
     world = World(ZONE_BY_INSTANCE)
     crash_engine(world, dispatch_chat(world, "a1", "r1", "good"))
-    assert world.cores["a1"].suspects.count_crashes("good") == 1
+    assert world.cores["a1"].suspects.get_crash_count("good") == 1
     world.finish(world.runs[-1])
-    assert world.cores["a1"].suspects.count_crashes("good") == 0
+    assert world.cores["a1"].suspects.get_crash_count("good") == 0
 
 
 def test_suspects_never_share_a_target() -> None:
@@ -85,7 +85,7 @@
     assert world.read_answer(guilty).code == "request_crashes_targets"
     error_codes = [answer.code for answer in world.answers[innocent]]
     assert "request_crashes_targets" not in error_codes
-    assert world.cores["a1"].suspects.count_crashes(f"body-{innocent[1:]}") == 1
+    assert world.cores["a1"].suspects.get_crash_count(f"body-{innocent[1:]}") == 1
 
 
 def test_crash_before_a_request_was_sent_is_not_counted() -> None:
@@ -101,7 +101,7 @@
     world.advance(0.1)
     world.send("a1", "r3", body="good", service=ENGINE)
     crash_engine(world, world.runs[-1])
-    assert world.cores["a1"].suspects.count_crashes("good") == 0
+    assert world.cores["a1"].suspects.get_crash_count("good") == 0
 
 
 def notify_crashes(world: World, instance: str, digest: str, *boots: str) -> None:
--- a/tests/core/test_tokens.py
+++ b/tests/core/test_tokens.py
@@ -8,8 +8,8 @@
 
 from rhubarbbend.core.claims._keys import (
     ReservedKey,
-    decode_reserved,
-    encode_reserved,
+    decode_reserved_key,
+    encode_reserved_key,
     is_valid_key,
 )
 from rhubarbbend.core.routing._tickets import Place, Ticket, decode_ticket, encode_ticket
@@ -30,21 +30,21 @@
 def test_reserved_keys_round_trip_for_their_account_and_secret_only(
     key: ReservedKey, account: str
 ) -> None:
-    token = encode_reserved(SECRET, account, key)
+    token = encode_reserved_key(SECRET, account, key)
     assert is_valid_key(token)
-    assert decode_reserved(SECRET, account, token) == Success(key)
-    assert not isinstance(decode_reserved(SECRET, account + "x", token), Success)
-    assert not isinstance(decode_reserved(b"another secret", account, token), Success)
+    assert decode_reserved_key(SECRET, account, token) == Success(key)
+    assert not isinstance(decode_reserved_key(SECRET, account + "x", token), Success)
+    assert not isinstance(decode_reserved_key(b"another secret", account, token), Success)
 
 
 @DETERMINISTIC_SETTINGS
 @given(RESERVED_KEYS, st.integers(0, 200), st.characters(max_codepoint=255))
 def test_altered_reserved_keys_are_rejected(key: ReservedKey, index: int, replacement: str) -> None:
-    token = encode_reserved(SECRET, "a", key)
+    token = encode_reserved_key(SECRET, "a", key)
     index %= len(token)
     altered = token[:index] + replacement + token[index + 1 :]
     if altered != token:
-        assert not isinstance(decode_reserved(SECRET, "a", altered), Success)
+        assert not isinstance(decode_reserved_key(SECRET, "a", altered), Success)
 
 
 @DETERMINISTIC_SETTINGS
@@ -62,4 +62,4 @@
 @given(st.text(st.characters(max_codepoint=255), max_size=2_000))
 def test_forged_tickets_and_keys_are_rejected(token: str) -> None:
     assert decode_ticket(SECRET, "a", "c", token).value_or(None) is None
-    assert not isinstance(decode_reserved(SECRET, "a", token), Success)
+    assert not isinstance(decode_reserved_key(SECRET, "a", token), Success)
--- a/tests/gateway/test_load_bound.py
+++ b/tests/gateway/test_load_bound.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from rhubarbbend.core.placement import InFlight, Scope, compute_tag
+from rhubarbbend.core.placement import CountScope, InFlightUpdate, compute_target_hash
 from standins._worker import Arrival
 from tests.gateway.harness import Fleet, run, start_fleet, wait_until
 
@@ -26,10 +26,16 @@
 MOST_SHARE, LEAST_COUNT = 0.03, 20
 METRICS_PORT = 9464
 # From one that is not on the list of instances.
-FORGED = InFlight("stranger", Scope.PART, 1, True, {compute_tag("engine-0"): 500}, 1)
+FORGED = InFlightUpdate(
+    "stranger", CountScope.SENDER_GROUP, 1, True, {compute_target_hash("engine-0"): 500}, 1
+)
 # With the name of an instance, in numbers that it could have.
-BORROWED = InFlight("front-1", Scope.PART, 1, True, {compute_tag("engine-0"): 20}, 2**31)
-FORGED_REST = InFlight("front-1", Scope.REST, 1, True, {compute_tag("engine-0"): 20}, 2**31)
+BORROWED = InFlightUpdate(
+    "front-1", CountScope.SENDER_GROUP, 1, True, {compute_target_hash("engine-0"): 20}, 2**31
+)
+FORGED_REST = InFlightUpdate(
+    "front-1", CountScope.ALL_EXCEPT_RECEIVER, 1, True, {compute_target_hash("engine-0"): 20}, 2**31
+)
 FORGERIES = (FORGED, BORROWED, FORGED_REST)
 
 
--- a/tests/gateway/test_load_telling.py
+++ b/tests/gateway/test_load_telling.py
@@ -8,7 +8,7 @@
 from rhubarbbend import codes
 from rhubarbbend.core.catalog import Catalog, Engine, Service, TrafficLimits
 from rhubarbbend.core.mirror import TablePage
-from rhubarbbend.core.placement import InFlight, Scope, compute_tag
+from rhubarbbend.core.placement import CountScope, InFlightUpdate, compute_target_hash
 from rhubarbbend.core.readers import InstanceRow, ReaderPlan
 from rhubarbbend.gateway._journal import Journal
 from rhubarbbend.gateway._load_telling import LoadTelling
@@ -52,7 +52,14 @@
     # make every engine look full.
     async def work() -> None:
         state, telling = make_telling()
-        told = InFlight(f"front-{sender}", Scope.PART, 1, True, {compute_tag("engine"): count}, 1)
+        told = InFlightUpdate(
+            f"front-{sender}",
+            CountScope.SENDER_GROUP,
+            1,
+            True,
+            {compute_target_hash("engine"): count},
+            1,
+        )
         telling.datagram_received(msgspec.msgpack.encode(told), (host, 7))
         assert state.loads.estimate("engine", True, 0.0) == (count if is_taken else 0)
         assert state.metrics.read(codes.PEER_COUNTS_REJECTED) == (0 if is_taken else 1)
@@ -64,7 +71,9 @@
     async def work() -> None:
         state, telling = make_telling()
         state.catalog = None
-        told = InFlight("front-7", Scope.PART, 1, True, {compute_tag("engine"): 9}, 1)
+        told = InFlightUpdate(
+            "front-7", CountScope.SENDER_GROUP, 1, True, {compute_target_hash("engine"): 9}, 1
+        )
         telling.datagram_received(msgspec.msgpack.encode(told), ("10.0.0.9", 7))
         assert state.loads.estimate("engine", True, 0.0) == 9.0
 
--- a/tests/gateway/test_timings.py
+++ b/tests/gateway/test_timings.py
@@ -37,11 +37,11 @@
     if bound >= 1.5:
         assert timings.reader_wait + SLOW_ANSWER <= timings.max_age
         assert timings.max_age + SLOW_ANSWER < bound
-    assert derive_directory_options(settings).lapse_grace < drain
+    assert derive_directory_options(settings).missing_registration_grace_s < drain
 
 
 def test_a_target_that_crashed_is_told_from_one_that_left_by_its_heartbeats() -> None:
     # A registration lapses after three silent heartbeats, so evidence must be fresher than that.
     settings = msgspec.structs.replace(SETTINGS, heartbeat=5.0)
-    assert derive_source_options(settings).alive < 3 * 5.0
-    assert derive_directory_options(settings).return_caution > 5.0
+    assert derive_source_options(settings).max_response_age_s < 3 * 5.0
+    assert derive_directory_options(settings).assumed_cold_time_s > 5.0
--- a/tests/trace/test_replay.py
+++ b/tests/trace/test_replay.py
@@ -70,7 +70,9 @@
 ) -> None:
     path = tmp_path / "trace"
     _record(path, steps=300)
-    monkeypatch.setattr("rhubarbbend.core.owners._books.Books.count_load", lambda books: 0)
+    monkeypatch.setattr(
+        "rhubarbbend.core.owners._owned_target.OwnedTarget.count_load", lambda owned: 0
+    )
     assert main(["replay", str(path)]) == 1
     shown = capsys.readouterr().out
     assert "the actions differ" in shown and "recorded:" in shown and "replayed:" in shown
@@ -80,7 +82,7 @@
     """The exception that ended a process is in its trace, so that the fault can be looked at."""
     path = tmp_path / "trace"
     with monkeypatch.context() as patch:
-        patch.setattr("rhubarbbend.core.owners._books.Books.take_report", None)
+        patch.setattr("rhubarbbend.core.owners._owned_target.OwnedTarget.record_report", None)
         with pytest.raises(TypeError):
             Storm(path, Random(1)).run(1)
         report = replay_trace(path)
