--- a/loadtool/_planning.py
+++ b/loadtool/_planning.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from rhubarbbend.core.routing import POLICIES, Candidate, RoutedRequest
-from rhubarbbend.core.routing._tickets import Place, Ticket
+from rhubarbbend.core.routing._tickets import ContextLocation, Ticket
 
 # Today's larger pool, a model's share of the size to design for, and all of its workers.
 SIZES: Final = (9, 38, 950)
@@ -37,7 +37,10 @@
     """Give the processor seconds of one plan, the best of a few rounds."""
     policy = POLICIES.find(name)()
     candidates = make_candidates(count)
-    places = (Place("engine-1", "boot", 0.0, 2_000), Place("engine-2", "boot", 0.0, 1_000))
+    places = (
+        ContextLocation("engine-1", "boot", 0.0, 2_000),
+        ContextLocation("engine-2", "boot", 0.0, 1_000),
+    )
     rng = random.Random(1)
     best = float("inf")
     plans = max(20, PLANS // count)
--- a/rhubarbbend/core/delivery/__init__.py
+++ b/rhubarbbend/core/delivery/__init__.py
@@ -1,22 +1,22 @@
 """Delivery: decides what follows an attempt and what the caller is told of its request."""
 
-from rhubarbbend.core.delivery._crashes import CrashBook
-from rhubarbbend.core.delivery._patience import PaceBook, SilenceTimeouts
+from rhubarbbend.core.delivery._crashes import CrashTracker
+from rhubarbbend.core.delivery._silence import LatencyTracker, SilenceTimeouts
 from rhubarbbend.core.delivery._steps import (
-    AttemptEnd,
+    AttemptOutcome,
     Progress,
     Step,
+    compute_verdict,
     decide_step,
-    judge,
 )
 
 __all__ = [
-    "AttemptEnd",
-    "CrashBook",
-    "PaceBook",
+    "AttemptOutcome",
+    "CrashTracker",
+    "LatencyTracker",
     "Progress",
     "SilenceTimeouts",
     "Step",
     "decide_step",
-    "judge",
+    "compute_verdict",
 ]
--- a/rhubarbbend/core/delivery/_crashes.py
+++ b/rhubarbbend/core/delivery/_crashes.py
@@ -20,13 +20,13 @@
 MAX_DIGESTS: Final = 2_000
 
 
-class CrashBook:
+class CrashTracker:
     """Tracks crashes by request digest. Invariant: each target counts once for a digest."""
 
     def __init__(self) -> None:
         self._crashes: OrderedDict[str, dict[str, float]] = OrderedDict()
 
-    def note_crash(self, digest: str, target: str, now: float) -> bool:
+    def record_crash(self, digest: str, target: str, now: float) -> bool:
         """Record that a target closed all its connections while it ran the request.
 
         Return whether this crash was not recorded before.
--- a/rhubarbbend/core/delivery/_patience.py
+++ b/rhubarbbend/core/delivery/_silence.py
@@ -43,12 +43,12 @@
 class SilenceDecision(msgspec.Struct, frozen=True):
     """What to do about a silent target.
 
-    `seconds` is how much longer to wait, 0 to give up. `ask` is whether to probe the target
+    `seconds` is how much longer to wait, 0 to give up. `probe` is whether to probe the target
     meanwhile by opening a connection to it.
     """
 
     seconds: float
-    ask: bool = False
+    probe: bool = False
 
 
 class SilenceTimeouts(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
         recheck_delay = RECENTLY_HEARD_FRACTION * self.probe_after
         if heard_ago < recheck_delay:
             return SilenceDecision(min(recheck_delay, remaining))
-        return SilenceDecision(min(PROBE_TIMEOUT_S, remaining), ask=True)
+        return SilenceDecision(min(PROBE_TIMEOUT_S, remaining), probe=True)
 
 
 class LatencyEstimator:
@@ -113,28 +113,28 @@
     longest_pause: LatencyEstimator
 
 
-class PaceBook:
+class LatencyTracker:
     """Tracks the latency of each route at this instance and derives silence time-outs from it."""
 
     def __init__(self) -> None:
         self._routes: dict[str, _RouteLatency] = {}
 
-    def note_first(self, route: Route, seconds: float) -> None:
+    def record_first_event(self, route: Route, seconds: float) -> None:
         """Record how long a stream took to its first event."""
         self._find_latency(route).first_event.record(seconds)
 
-    def note_pause(self, route: Route, seconds: float) -> None:
+    def record_longest_pause(self, route: Route, seconds: float) -> None:
         """Record the longest pause of a stream that ended successfully."""
         self._find_latency(route).longest_pause.record(seconds)
 
-    def choose_first(self, route: Route) -> SilenceTimeouts:
+    def compute_first_event_timeouts(self, route: Route) -> SilenceTimeouts:
         """Return the time-outs for an answer, or for a stream's first event."""
         if route.kind is RequestKind.SAFE:
             timeout = SAFE_TIMEOUT_FRACTION * route.objective
             return SilenceTimeouts(timeout, timeout)
         return _compute_timeouts(route.objective, self._find_latency(route).first_event)
 
-    def choose_pause(self, route: Route) -> SilenceTimeouts:
+    def compute_pause_timeouts(self, route: Route) -> SilenceTimeouts:
         """Return the time-outs for a pause of a stream that has started."""
         return _compute_timeouts(route.pause_objective, self._find_latency(route).longest_pause)
 
--- a/rhubarbbend/core/delivery/_steps.py
+++ b/rhubarbbend/core/delivery/_steps.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core.catalog import Route
 
 
-class AttemptEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How an attempt at one target ended."""
 
     # No byte of the request was written.
@@ -41,15 +41,15 @@
     may_have_run: bool = False
     started: bool = False
 
-    def note_end(self, end: AttemptEnd) -> None:
+    def record_outcome(self, end: AttemptOutcome) -> None:
         """Record how an attempt ended."""
-        if end is AttemptEnd.UNREACHED:
+        if end is AttemptOutcome.UNREACHED:
             return
         self.sends += 1
-        if end is AttemptEnd.MISDIRECTED:
+        if end is AttemptOutcome.MISDIRECTED:
             return
         self.targets += 1
-        if end is not AttemptEnd.REJECTED:
+        if end is not AttemptOutcome.REJECTED:
             self.may_have_run = True
 
 
@@ -67,27 +67,27 @@
 PASS_ANSWER = Step(False)
 
 
-def judge(progress: Progress) -> Verdict:
+def compute_verdict(progress: Progress) -> Verdict:
     """Return whether a request may have run."""
     return Verdict.MAY_HAVE_RUN if progress.may_have_run else Verdict.NOT_RUN
 
 
-def decide_step(route: Route, end: AttemptEnd, progress: Progress) -> Step:
+def decide_step(route: Route, end: AttemptOutcome, progress: Progress) -> Step:
     """Decide what follows an attempt that `progress` already counts.
 
     A request that may have run is retried only if it is idempotent. One that no target started to
     run may go to another target as long as the route allows one more.
     """
-    if end is AttemptEnd.ANSWERED:
+    if end is AttemptOutcome.ANSWERED:
         return PASS_ANSWER
     has_attempt_left = progress.targets < route.max_attempts
-    if end is AttemptEnd.UNREACHED:
+    if end is AttemptOutcome.UNREACHED:
         return Step(True)
-    if end is AttemptEnd.MISDIRECTED:
+    if end is AttemptOutcome.MISDIRECTED:
         return Step(True)
-    if end is AttemptEnd.REJECTED and (not progress.may_have_run or route.idempotent):
+    if end is AttemptOutcome.REJECTED and (not progress.may_have_run or route.idempotent):
         return Step(has_attempt_left, codes.OVERLOADED)
-    if end is AttemptEnd.FAILED:
+    if end is AttemptOutcome.FAILED:
         # The target's own answer tells the caller more than an error generated here.
         return Step(True) if has_attempt_left and route.idempotent else PASS_ANSWER
     if has_attempt_left and route.idempotent:
--- a/rhubarbbend/core/limits/_in_flight.py
+++ b/rhubarbbend/core/limits/_in_flight.py
@@ -18,12 +18,12 @@
     def __init__(self) -> None:
         self._in_flight: Counter[str] = Counter()
 
-    def open(self, account: Account, now: float) -> bool:
+    def record_opened(self, account: Account, now: float) -> bool:
         """Count a request and return False if it puts the account over its limit."""
         self._in_flight[account.name] += 1
         return self._in_flight[account.name] <= account.max_in_flight
 
-    def close(self, account: Account) -> None:
+    def record_closed(self, account: Account) -> None:
         """Stop counting a request that has ended."""
         self._in_flight[account.name] -= 1
         if self._in_flight[account.name] <= 0:
--- a/rhubarbbend/core/mirror/_tables.py
+++ b/rhubarbbend/core/mirror/_tables.py
@@ -36,7 +36,7 @@
     whole: bool
 
 
-class Change(msgspec.Struct, frozen=True):
+class RowChange(msgspec.Struct, frozen=True):
     """A change that a page made: the row's key and new value, None if the row was deleted."""
 
     key: str
@@ -73,11 +73,11 @@
         row = self._rows.get(key)
         return None if row is None else row.value
 
-    def merge(self, page: TablePage) -> list[Change]:
+    def merge(self, page: TablePage) -> list[RowChange]:
         """Merge a page and return the changes it made; a page older than the table makes none."""
         if page.position < self.position:
             return []
-        changes: list[Change] = []
+        changes: list[RowChange] = []
         for row in page.rows:
             self._merge_row(row, changes)
         if page.whole:
@@ -93,7 +93,7 @@
         rows += [row for row in self._deleted.values() if row.version > after]
         return TablePage(rows, self.position, False)
 
-    def _merge_row(self, row: MirroredRow, changes: list[Change]) -> None:
+    def _merge_row(self, row: MirroredRow, changes: list[RowChange]) -> None:
         current = self._rows.get(row.key) or self._deleted.get(row.key)
         if current is not None and current.version >= row.version:
             return
@@ -102,12 +102,12 @@
         else:
             self._deleted.pop(row.key, None)
             self._rows[row.key] = row
-        changes.append(Change(row.key, row.value))
+        changes.append(RowChange(row.key, row.value))
 
-    def _delete_missing(self, keys: set[str], position: int, changes: list[Change]) -> None:
+    def _delete_missing(self, keys: set[str], position: int, changes: list[RowChange]) -> None:
         for key in [key for key in self._rows if key not in keys]:
             self._delete(MirroredRow(key, None, position))
-            changes.append(Change(key, None))
+            changes.append(RowChange(key, None))
 
     def _delete(self, row: MirroredRow) -> None:
         self._rows.pop(row.key, None)
@@ -125,7 +125,7 @@
     def __init__(self, names: Iterable[str]) -> None:
         self.tables = {name: Table() for name in names}
 
-    def merge(self, pages: dict[str, TablePage]) -> dict[str, list[Change]]:
+    def merge(self, pages: dict[str, TablePage]) -> dict[str, list[RowChange]]:
         """Merge pages by table name and return the changes by table name.
 
         Pages of tables that this instance does not follow are ignored.
--- a/rhubarbbend/core/placement/_placement.py
+++ b/rhubarbbend/core/placement/_placement.py
@@ -31,7 +31,7 @@
 from rhubarbbend.core.placement._prompt_locations import PromptLocationTracker
 from rhubarbbend.core.placement._prompts import Prompt
 from rhubarbbend.core.placement._sources import SourceFinder, SourceOptions
-from rhubarbbend.core.shares import ColdAllowance
+from rhubarbbend.core.shares import ColdTargetShare
 
 # Load estimates lag behind the real load, so requests spill over to the next target somewhat below
 # the bound that the deployment sets: at this fraction of its factor.
@@ -46,7 +46,7 @@
 # many requests more.
 ZONE_ADVANTAGE: Final = 0.75
 # A request that is sent more than this time after its target was chosen is counted again in the
-# target's cold allowance, at the time when it is sent.
+# target's cold share, at the time when it is sent.
 SLOW_CONNECT_S: Final = 0.02
 # Of the connections that a target accepts from all instances together, this fraction is divided
 # among the instances. The rest is left for idle connections and for instances that the others do
@@ -133,7 +133,7 @@
         registry: TargetRegistry,
         loads: LoadTracker,
         health: HealthTracker,
-        cold: ColdAllowance,
+        cold: ColdTargetShare,
     ) -> None:
         self._options = options
         self._registry = registry
@@ -183,7 +183,7 @@
 
     def record_chosen(self, target: Target, now: float) -> None:
         """Record that a request is about to be sent to a target."""
-        self._cold.note_sent(target.id, now)
+        self._cold.record_sent(target.id, now)
 
     def record_sent(
         self, choice: Choice, prompt: Prompt | None, chosen_at: float, now: float
@@ -191,7 +191,7 @@
         """Record that a request was sent at `now` to the target chosen for it at `chosen_at`."""
         target = choice.target
         if now - chosen_at > SLOW_CONNECT_S:
-            self._cold.note_sent(target.id, now)
+            self._cold.record_sent(target.id, now)
         if prompt is not None and prompt.parts:
             known = self._sources.list_holders(prompt, now)
             is_moved = choice.reason is not Reason.HOME or choice.source is not None
@@ -261,7 +261,7 @@
     ) -> bool:
         if service.cold_rate <= 0.0:
             return True
-        share = self._cold.compute_part(target.id, service.cold_rate, instances)
+        share = self._cold.compute_share(target.id, service.cold_rate, instances)
         return self._cold.has_room(target.id, share, now)
 
     # Choice by prompt.
--- a/rhubarbbend/core/readers/__init__.py
+++ b/rhubarbbend/core/readers/__init__.py
@@ -8,16 +8,16 @@
 calls but never loses a change.
 """
 
-from rhubarbbend.core.readers._leases import RENEW_INTERVAL, InstanceLeases
-from rhubarbbend.core.readers._news import NewsLog, NewsPage
-from rhubarbbend.core.readers._plan import InstanceRow, ReaderPlan, list_zone_readers
+from rhubarbbend.core.readers._leases import RENEW_INTERVAL_S, InstanceLeaseTracker
+from rhubarbbend.core.readers._peer_updates import PeerUpdateLog, PeerUpdatePage
+from rhubarbbend.core.readers._selection import InstanceRow, ReaderSelector, list_zone_readers
 
 __all__ = [
-    "RENEW_INTERVAL",
-    "InstanceLeases",
+    "RENEW_INTERVAL_S",
+    "InstanceLeaseTracker",
     "InstanceRow",
-    "NewsLog",
-    "NewsPage",
-    "ReaderPlan",
+    "PeerUpdateLog",
+    "PeerUpdatePage",
+    "ReaderSelector",
     "list_zone_readers",
 ]
--- a/rhubarbbend/core/readers/_leases.py
+++ b/rhubarbbend/core/readers/_leases.py
@@ -18,11 +18,11 @@
 
 # Seconds between two writes of an instance's row. 400 instances make 1.3 writes a second, out of
 # the several hundred that a platform allows.
-RENEW_INTERVAL: Final = 300.0
+RENEW_INTERVAL_S: Final = 300.0
 # Seconds after which a row that was not rewritten has expired: four successive writes were missed.
 # A crashed instance's share of the limits stays unused that long, which is acceptable for one
 # instance of hundreds.
-ROW_LIFE: Final = 1_200.0
+ROW_LIFETIME_S: Final = 1_200.0
 # After a longer gap between two reads of the list, the age of every row restarts at zero: the store
 # was unreachable, so live instances could not write or this instance could not see their writes.
 MAX_READ_GAP_S: Final = 60.0
@@ -35,7 +35,7 @@
     since: float
 
 
-class InstanceLeases:
+class InstanceLeaseTracker:
     """Tracks how long each row has been unchanged. Invariant: periods without reads do not count.
 
     Times come from this instance's own clock, so clocks that differ or jump do no harm. Expiring a
@@ -58,6 +58,6 @@
             if seen is None or seen.version != row.version:
                 seen = _SeenVersion(row.version, now)
             self._seen[row.key] = seen
-            if now - seen.since >= ROW_LIFE:
+            if now - seen.since >= ROW_LIFETIME_S:
                 expired.append(row)
         return expired
--- a/rhubarbbend/core/readers/_news.py
+++ b/rhubarbbend/core/readers/_peer_updates.py
@@ -13,14 +13,14 @@
 MAX_ITEMS: Final = 1_000
 
 
-class NewsPage(msgspec.Struct, Generic[T], array_like=True):
+class PeerUpdatePage(msgspec.Struct, Generic[T], array_like=True):
     """Items after a listener's position, and the position after the last of them."""
 
     items: list[T]
     position: int
 
 
-class NewsLog(Generic[T]):
+class PeerUpdateLog(Generic[T]):
     """A bounded log of numbered items. Invariant: the last item has the number `position`.
 
     Items are hints: losing one only costs another prefill of a prompt. So no item is acknowledged,
@@ -37,14 +37,14 @@
         self._items.append(item)
         self.position += 1
 
-    def list_after(self, position: int | None) -> NewsPage[T]:
+    def list_after(self, position: int | None) -> PeerUpdatePage[T]:
         """Return the items after a position.
 
         The page is empty for a listener without a position yet, and for one whose position lies
         beyond this log.
         """
         if position is None or position > self.position:
-            return NewsPage([], self.position)
+            return PeerUpdatePage([], self.position)
         count = min(self.position - position, len(self._items))
         items = list(self._items)[len(self._items) - count :]
-        return NewsPage(items, self.position)
+        return PeerUpdatePage(items, self.position)
--- a/rhubarbbend/core/readers/_plan.py
+++ b/rhubarbbend/core/readers/_selection.py
@@ -83,7 +83,7 @@
         return [name for name in self.order if name not in excluded][: self.readers]
 
 
-class ReaderPlan:
+class ReaderSelector:
     """Selects the reader at which this instance waits.
 
     Invariant: an instance never waits at itself, and waits at no other if its zone has no readers.
@@ -102,7 +102,7 @@
         self._instances: Mapping[str, InstanceRow] = {}
         self._groups: list[ReaderGroup] = []
 
-    def choose(self, instances: Mapping[str, InstanceRow], now: float) -> str | None:
+    def select_reader(self, instances: Mapping[str, InstanceRow], now: float) -> str | None:
         """Return the reader to wait at; None if this instance has to read the store itself."""
         readers = self._list_own_readers(instances, now)
         if not readers or self._instance in readers:
@@ -125,11 +125,11 @@
             relays += group.list_readers(silent) or group.order
         return [name for name in relays if name != self._instance]
 
-    def note_answer(self, reader: str) -> None:
+    def record_answer(self, reader: str) -> None:
         """Record that a reader answered, which ends its backoff."""
         self._backoffs.pop(reader, None)
 
-    def note_silence(self, reader: str, now: float) -> None:
+    def record_no_answer(self, reader: str, now: float) -> None:
         """Record that a reader did not answer or that its answer was too old, and back off."""
         previous = self._backoffs.get(reader)
         seconds = MIN_BACKOFF_S if previous is None else min(MAX_BACKOFF_S, 2.0 * previous.seconds)
--- a/rhubarbbend/core/requests/_planner.py
+++ b/rhubarbbend/core/requests/_planner.py
@@ -13,7 +13,7 @@
 from rhubarbbend.core.requests._request import Request
 from rhubarbbend.core.routing import POLICIES, Candidate, Choice, RoutedRequest
 from rhubarbbend.core.routing import RoutingPolicy as Policy
-from rhubarbbend.core.routing._tickets import Place, Ticket, decode_ticket, encode_ticket
+from rhubarbbend.core.routing._tickets import ContextLocation, Ticket, decode_ticket, encode_ticket
 
 
 class Planner:
@@ -46,7 +46,7 @@
         if not arrived.chat or request.service.kind != KIND_ENGINE:
             return ""
         wall = self._context.to_unix_time(now)
-        place = Place(request.target, request.boot_id, wall, arrived.tokens)
+        place = ContextLocation(request.target, request.boot_id, wall, arrived.tokens)
         previous_ticket = self._read_ticket(request)
         other_places = (
             []
--- a/rhubarbbend/core/requests/_request_table.py
+++ b/rhubarbbend/core/requests/_request_table.py
@@ -29,7 +29,7 @@
         """Add a request; return False if its account now exceeds a limit."""
         self._by_id[request.id] = request
         # Every limit has to count the request, so the loop does not stop at an exceeded one.
-        allowed = [limit.open(request.account, now) for limit in self._limits]
+        allowed = [limit.record_opened(request.account, now) for limit in self._limits]
         return all(allowed)
 
     def find(self, request_id: str) -> Request | None:
@@ -79,4 +79,4 @@
         if found is None:
             return
         for limit in self._limits:
-            limit.close(request.account)
+            limit.record_closed(request.account)
--- a/rhubarbbend/core/routing/_tickets.py
+++ b/rhubarbbend/core/routing/_tickets.py
@@ -20,7 +20,7 @@
 MAX_TICKET_CHARS: Final = 1_024
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class ContextLocation(msgspec.Struct, frozen=True, array_like=True):
     """A target that holds a chat's context.
 
     `boot_id` identifies one run of the target, `at` is the Unix time at which the target was used,
@@ -36,7 +36,7 @@
 class Ticket(msgspec.Struct, frozen=True, array_like=True):
     """The places that hold a chat's context, the latest first; at most two are kept."""
 
-    places: tuple[Place, ...]
+    places: tuple[ContextLocation, ...]
 
 
 def _sign(secret: bytes, account: str, chat: str, payload: bytes) -> bytes:
--- a/rhubarbbend/core/shares/__init__.py
+++ b/rhubarbbend/core/shares/__init__.py
@@ -4,7 +4,7 @@
 limit holds even if some instances are dead, frozen, partitioned or have an outdated member list.
 """
 
-from rhubarbbend.core.shares._cold import ColdAllowance
-from rhubarbbend.core.shares._retries import RetryShare
+from rhubarbbend.core.shares._cold import ColdTargetShare
+from rhubarbbend.core.shares._retries import RetryBudgetShare
 
-__all__ = ["ColdAllowance", "RetryShare"]
+__all__ = ["ColdTargetShare", "RetryBudgetShare"]
--- a/rhubarbbend/core/shares/_cold.py
+++ b/rhubarbbend/core/shares/_cold.py
@@ -15,7 +15,7 @@
 MAX_RECORDED_SENDS: Final = 256
 
 
-class ColdAllowance:
+class ColdTargetShare:
     """Limits the rate at which this instance sends requests to cold targets.
 
     A cold target that gets more requests than it can bear crashes, and every request on it is
@@ -27,17 +27,17 @@
 
     def __init__(self, instance: str, overshoot: float, slack: float) -> None:
         self._instance = instance
-        self.set_bound(overshoot, slack)
+        self.set_limit(overshoot, slack)
         self._sent: dict[str, deque[float]] = {}
         # By target: an instance list, and whether this instance is among the first in it.
         self._first_cache: dict[str, tuple[Sequence[str], bool]] = {}
 
-    def set_bound(self, overshoot: float, slack: float) -> None:
+    def set_limit(self, overshoot: float, slack: float) -> None:
         """Set the fleet's limit per second: a target's rate times `overshoot`, plus `slack`."""
         self._overshoot = overshoot
         self._slack = slack
 
-    def compute_part(self, target: str, cold_rate: float, instances: Sequence[str]) -> int:
+    def compute_share(self, target: str, cold_rate: float, instances: Sequence[str]) -> int:
         """Return the number of requests that this instance may send to a target in a window."""
         limit = int(cold_rate * self._overshoot + self._slack)
         count = max(1, len(instances))
@@ -66,7 +66,7 @@
             sent.popleft()
         return len(sent) < share
 
-    def note_sent(self, target: str, now: float) -> None:
+    def record_sent(self, target: str, now: float) -> None:
         """Record a request to a target, even a warm one: it may turn out to have been cold.
 
         Requests are recorded when the target is chosen, because other requests choose targets
--- a/rhubarbbend/core/shares/_retries.py
+++ b/rhubarbbend/core/shares/_retries.py
@@ -13,7 +13,7 @@
 RATIO_MARGIN_FACTOR: Final = 0.9
 
 
-class RetryShare:
+class RetryBudgetShare:
     """Counts the requests and retries of one service in a sliding window.
 
     Without a limit, each failing request would be sent several times, and targets that lack
@@ -23,30 +23,30 @@
     """
 
     def __init__(self, ratio: float, slack: float, window: float) -> None:
-        self.set_bound(ratio, slack, window)
+        self.set_limit(ratio, slack, window)
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def set_bound(self, ratio: float, slack: float, window: float) -> None:
+    def set_limit(self, ratio: float, slack: float, window: float) -> None:
         """Set the fleet's limit: `slack` plus `ratio` of all requests in `window` seconds."""
         self._ratio = ratio * RATIO_MARGIN_FACTOR
         self._slack = slack * (1.0 - RESERVED_SLACK_FRACTION)
         self._window = window
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Record a request of a caller."""
         self._expire(now)
         self._requests.append(now)
 
-    def compute_left(self, instances: int, now: float) -> float:
+    def compute_remaining(self, instances: int, now: float) -> float:
         """Return the number of retries left to this instance, one of `instances`."""
         self._expire(now)
         allowed = self._ratio * len(self._requests) + self._slack / max(1, instances)
         return allowed - len(self._retries)
 
-    def take(self, instances: int, now: float) -> bool:
+    def try_acquire(self, instances: int, now: float) -> bool:
         """Record a retry and return True, or return False if none is left."""
-        if self.compute_left(instances, now) < 1.0:
+        if self.compute_remaining(instances, now) < 1.0:
             return False
         self._retries.append(now)
         return True
--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -7,7 +7,7 @@
 
 from rhubarbbend import codes
 from rhubarbbend.core.catalog import RequestKind
-from rhubarbbend.core.delivery import AttemptEnd, PaceBook
+from rhubarbbend.core.delivery import AttemptOutcome, LatencyTracker
 from rhubarbbend.core.directory import Target
 from rhubarbbend.core.placement import Choice
 from rhubarbbend.gateway._interfaces import TargetAnswer, TargetOrder, TargetProtocol
@@ -40,7 +40,9 @@
 IDLE_MARGIN: Final = 1.0
 # After these nothing more goes over a connection. A target that rejects a request may not have read
 # its body yet and may close while the next request is on its way, which would then fail unrun.
-UNSETTLED: Final = frozenset({AttemptEnd.BROKEN, AttemptEnd.MISDIRECTED, AttemptEnd.REJECTED})
+UNSETTLED: Final = frozenset(
+    {AttemptOutcome.BROKEN, AttemptOutcome.MISDIRECTED, AttemptOutcome.REJECTED}
+)
 # Statuses that promise a caller that its request did not and will not run.
 PROMISES: Final = frozenset({408, 421, 429, 503})
 
@@ -59,12 +61,12 @@
         self._pool = pool
         self._protocol = protocol
         self._clock = clock
-        self._paces = PaceBook()
+        self._latencies = LatencyTracker()
         self._listener = TargetListener(state, pool, CONNECT_TIMEOUT, clock)
         # Told of a request that a target broke off before it answered; set by the instance.
         self.crash_listener: Callable[[OpenRequest, Target], None] = lambda request, target: None
 
-    async def run(self, request: OpenRequest, choice: Choice) -> AttemptEnd:
+    async def run(self, request: OpenRequest, choice: Choice) -> AttemptOutcome:
         """Send a request to a target; pass its answer on, or tell how it failed."""
         target = choice.target
         request.attempt_target = target
@@ -74,7 +76,7 @@
         try:
             connection = await self._connect(request, target)
             if connection is None:
-                return AttemptEnd.UNREACHED
+                return AttemptOutcome.UNREACHED
             return await self._exchange(request, choice, connection)
         finally:
             self._state.loads.record_end(target.id)
@@ -112,11 +114,11 @@
 
     async def _exchange(
         self, request: OpenRequest, choice: Choice, connection: Connection
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         """Send over a connection and read the answer; the connection is kept if it is sound."""
         if request.progress.sends > 0:
             self._take_retry(request, connection)
-        end = AttemptEnd.BROKEN
+        end = AttemptOutcome.BROKEN
         answer: TargetAnswer | None = None
         self._listener.add(choice.target.id, connection)
         try:
@@ -131,7 +133,7 @@
         finally:
             self._listener.discard(choice.target.id, connection)
             self._settle(connection, answer, end)
-        if end in (AttemptEnd.REJECTED, AttemptEnd.MISDIRECTED, AttemptEnd.FAILED):
+        if end in (AttemptOutcome.REJECTED, AttemptOutcome.MISDIRECTED, AttemptOutcome.FAILED):
             self._log(
                 "attempt_ended",
                 request,
@@ -151,7 +153,7 @@
     def _take_retry(self, request: OpenRequest, connection: Connection) -> None:
         instances = len(self._state.list_instances())
         share = self._state.find_retries(request.service.name)
-        if not share.take(instances, self._clock()):
+        if not share.try_acquire(instances, self._clock()):
             self._pool.give_back(connection, self._clock())
             raise BudgetSpent
 
@@ -240,17 +242,17 @@
                     raise
 
     def _make_patience(self, request: OpenRequest, target: Target) -> StreamPatience:
-        return StreamPatience(request, target, self._listener, self._paces, self._clock)
+        return StreamPatience(request, target, self._listener, self._latencies, self._clock)
 
     async def _receive_rest(
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         if answer.misdirected:
             await _read_all(connection, request)
-            return AttemptEnd.MISDIRECTED
+            return AttemptOutcome.MISDIRECTED
         if answer.not_run:
             await _read_all(connection, request)
-            return AttemptEnd.REJECTED
+            return AttemptOutcome.REJECTED
         if not answer.genuine or answer.status in PROMISES:
             # It ran, or may have: passed on, its status would promise that it did not.
             raise HttpFailure(SendStage.RESPONSE, f"no answer of its own, status {answer.status}")
@@ -266,18 +268,18 @@
         failed = answer.status >= 500
         if failed and _may_move(request) and self._has_retry_left(request):
             request.kept_answer = KeptAnswer(answer, body)
-            return AttemptEnd.FAILED
+            return AttemptOutcome.FAILED
         pass_on(request, KeptAnswer(answer, body))
-        return AttemptEnd.FAILED if failed else AttemptEnd.ANSWERED
+        return AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED
 
     def _has_retry_left(self, request: OpenRequest) -> bool:
         instances = len(self._state.list_instances())
         share = self._state.find_retries(request.service.name)
-        return share.compute_left(instances, self._clock()) >= 1.0
+        return share.compute_remaining(instances, self._clock()) >= 1.0
 
     async def _relay_stream(
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         relay = request.relay
         resumed = request.answer is not None and relay.started
         if not resumed:
@@ -285,7 +287,7 @@
         sent_at = request.sent_at
 
         def note_begun() -> None:
-            self._paces.note_first(request.route, self._clock() - sent_at)
+            self._latencies.record_first_event(request.route, self._clock() - sent_at)
             connection.reset_pause()
 
         relay.begin_run(resumed, note_begun)
@@ -295,17 +297,17 @@
         await connection.relay_body(relay, patience)
         if not relay.is_whole():
             raise HttpFailure(SendStage.RESPONSE, "the stream ended within an event")
-        self._paces.note_pause(request.route, connection.longest_pause)
+        self._latencies.record_longest_pause(request.route, connection.longest_pause)
         if not relay.started:
             request.answer = answer
             request.progress.started = True
             request.exchange.start_raw(answer.status, answer.headers)
         request.exchange.finish()
-        return AttemptEnd.ANSWERED
+        return AttemptOutcome.ANSWERED
 
     def _note_failure(
         self, request: OpenRequest, target: Target, failure: HttpFailure
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         self._log(
             "attempt_failed",
             request,
@@ -316,10 +318,10 @@
             last_event=request.relay.last_id or None,
         )
         if failure.stage is SendStage.CONNECT:
-            return AttemptEnd.UNREACHED
+            return AttemptOutcome.UNREACHED
         if failure.stage is SendStage.SENT and failure.reason != REASON_TIMEOUT:
             self.crash_listener(request, target)
-        return AttemptEnd.BROKEN
+        return AttemptOutcome.BROKEN
 
     def _was_dead(
         self, request: OpenRequest, target: Target, connection: Connection, failure: HttpFailure
@@ -338,7 +340,9 @@
         self._log("idle_connection_dead", request, target, rested=round(connection.rested, 3))
         return True
 
-    def _settle(self, connection: Connection, answer: TargetAnswer | None, end: AttemptEnd) -> None:
+    def _settle(
+        self, connection: Connection, answer: TargetAnswer | None, end: AttemptOutcome
+    ) -> None:
         """Keep a connection whose answer was read whole; close every other, which ends its work."""
         if answer is None or answer.closes or end in UNSETTLED:
             connection.close()
@@ -347,14 +351,14 @@
             connection.idle_limit = answer.idle_limit - IDLE_MARGIN
         self._pool.give_back(connection, self._clock())
 
-    def _note_health(self, target: Target, request: OpenRequest, end: AttemptEnd) -> None:
+    def _note_health(self, target: Target, request: OpenRequest, end: AttemptOutcome) -> None:
         now = self._clock()
         health = self._state.health
-        if end is AttemptEnd.MISDIRECTED:
+        if end is AttemptOutcome.MISDIRECTED:
             health.record_unreachable(target.id, now)
             return
-        health.record_response(target.id, end is not AttemptEnd.ANSWERED, now)
-        if end is AttemptEnd.ANSWERED:
+        health.record_response(target.id, end is not AttemptOutcome.ANSWERED, now)
+        if end is AttemptOutcome.ANSWERED:
             self._state.crashes.clear(request.digest)
 
 
--- a/rhubarbbend/gateway/_crash_watch.py
+++ b/rhubarbbend/gateway/_crash_watch.py
@@ -59,7 +59,7 @@
                 "crash_doubted", now, id=request, target=target.id, lost_together=lost
             )
             return
-        if state.crashes.note_crash(digest, target.id, now):
+        if state.crashes.record_crash(digest, target.id, now):
             state.metrics.add(codes.SUSPECTS)
             state.journal.write(
                 "crash_counted", now, id=request, digest=digest, target=target.id, reason=reason
--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -13,7 +13,7 @@
 from typing import Any, Final
 
 from rhubarbbend import codes
-from rhubarbbend.core.readers import ReaderPlan
+from rhubarbbend.core.readers import ReaderSelector
 from rhubarbbend.gateway._instance_list import InstanceList
 from rhubarbbend.gateway._intake import StateIntake
 from rhubarbbend.gateway._interfaces import StateDecoder
@@ -89,7 +89,7 @@
         store: RowStore,
         decoder: StateDecoder,
         peers: PeerClient,
-        plan: ReaderPlan,
+        selector: ReaderSelector,
     ) -> None:
         self._state = state
         self._store = store
@@ -97,7 +97,7 @@
         self._intake = StateIntake(state, decoder)
         self.instances = InstanceList(state, store, self._intake, peers, self._note_failure)
         self._peers = peers
-        self._plan = plan
+        self._selector = selector
         self._contact = StoreContact()
         # Set while this instance reads the store itself.
         self._reads = asyncio.Event()
@@ -193,7 +193,7 @@
         return LONGEST_LISTENER_PAUSE if self._has_reader() else LONGEST_PAUSE
 
     def _has_reader(self) -> bool:
-        return self._plan.choose(self._state.instances, read_clock()) is not None
+        return self._selector.select_reader(self._state.instances, read_clock()) is not None
 
     async def _read_once(self, table: str, whole: bool) -> bool:
         """Read a table, or wait for what changes in it; tells whether anything has."""
@@ -220,7 +220,9 @@
             return timings.table_wait
         # One that does not know yet whether others wait at it waits as briefly as one that does:
         # with a longer wait under way its first listeners would all turn to the store.
-        may_read = not self.instances.is_settled or self._plan.is_reader(self._state.instances, now)
+        may_read = not self.instances.is_settled or self._selector.is_reader(
+            self._state.instances, now
+        )
         return timings.reader_wait if may_read else timings.table_wait
 
     def _note_answer(self, now: float) -> None:
@@ -245,7 +247,7 @@
         position = ReaderPosition()
         while True:
             now = read_clock()
-            reader = self._plan.choose(self._state.instances, now)
+            reader = self._selector.select_reader(self._state.instances, now)
             if reader is None:
                 self._begin_reading("no reader to wait at")
                 await self._state.changed.wait(PLAN_INTERVAL)
@@ -278,10 +280,10 @@
             await asyncio.sleep(START_INTERVAL)
             return None
         if reply is None:
-            self._plan.note_silence(reader, now)
+            self._selector.record_no_answer(reader, now)
             self._log("reader_silent", reader=reader, known_age=self._state.show_age(now))
         else:
-            self._plan.note_answer(reader)
+            self._selector.record_answer(reader)
             self._take_reply(reply, asked, now)
         max_age = self._state.timings.max_age
         if self._state.measure_age(now) > max_age:
@@ -328,7 +330,7 @@
         while True:
             await asyncio.sleep(HOLD)
             now = read_clock()
-            if self._plan.is_reader(self._state.instances, now):
+            if self._selector.is_reader(self._state.instances, now):
                 loads = self._state.loads.list_reports_since(told_at, False, now)
                 if loads:
                     await self._peers.tell(Note(loads=loads))
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from rhubarbbend import VERSION, codes
-from rhubarbbend.core.readers import InstanceRow, ReaderPlan
+from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._attempts import AttemptRunner
 from rhubarbbend.gateway._crash_watch import CrashWatch
 from rhubarbbend.gateway._follower import StateFollower
@@ -77,14 +77,14 @@
         self._peer_pool = ConnectionPool(TARGET_IDLE)
         attempts = AttemptRunner(self.state, self._pool, adapter.targets, read_clock)
         self._requests = RequestServer(self.state, adapter.callers, attempts, read_clock)
-        plan = ReaderPlan(settings.instance, settings.zone)
-        self._peers = PeerClient(self.state, self._peer_pool, plan)
+        selector = ReaderSelector(settings.instance, settings.zone)
+        self._peers = PeerClient(self.state, self._peer_pool, selector)
         crashes = CrashWatch(self.state, self._peers, self._spawn)
         attempts.crash_listener = crashes.suspect
         self._follower = StateFollower(
-            self.state, adapter.store, adapter.decoder, self._peers, plan
+            self.state, adapter.store, adapter.decoder, self._peers, selector
         )
-        self._load_telling = LoadTelling(self.state, plan)
+        self._load_telling = LoadTelling(self.state, selector)
         self._callers = HttpServer(self._requests.serve)
         self._servers: list[HttpServer] = [self._callers]
         self._background: set[asyncio.Task[None]] = set()
--- a/rhubarbbend/gateway/_instance_list.py
+++ b/rhubarbbend/gateway/_instance_list.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from rhubarbbend.core.mirror import MirroredRow
-from rhubarbbend.core.readers import RENEW_INTERVAL, InstanceLeases, InstanceRow
+from rhubarbbend.core.readers import RENEW_INTERVAL_S, InstanceLeaseTracker, InstanceRow
 from rhubarbbend.gateway._intake import StateIntake
 from rhubarbbend.gateway._peers import Hello, PeerClient
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
@@ -48,7 +48,7 @@
         self._peers = peers
         # Told of a table and why a call for it failed.
         self._on_failure = on_failure
-        self._leases = InstanceLeases()
+        self._leases = InstanceLeaseTracker()
         # Whether the list has been read after all that started together are on it.
         self.is_settled = False
 
@@ -82,7 +82,7 @@
             await asyncio.sleep(ROW_CHECK_INTERVAL * self._state.random.uniform(0.8, 1.2))
             now = read_clock()
             is_listed = own in self._state.instances
-            if self._state.stopping or (is_listed and now - written_at < RENEW_INTERVAL):
+            if self._state.stopping or (is_listed and now - written_at < RENEW_INTERVAL_S):
                 continue
             if not is_listed:
                 self._log("row_missing")
--- a/rhubarbbend/gateway/_intake.py
+++ b/rhubarbbend/gateway/_intake.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from rhubarbbend import codes
-from rhubarbbend.core.mirror import Change, TablePage
+from rhubarbbend.core.mirror import RowChange, TablePage
 from rhubarbbend.core.readers import InstanceRow
 from rhubarbbend.gateway._interfaces import (
     CatalogRead,
@@ -46,7 +46,7 @@
             self._state.changed.notify()
         return count
 
-    def _take_instances(self, changes: list[Change]) -> None:
+    def _take_instances(self, changes: list[RowChange]) -> None:
         for change in changes:
             if change.value is None:
                 self._state.drop_instance(change.key)
--- a/rhubarbbend/gateway/_interfaces.py
+++ b/rhubarbbend/gateway/_interfaces.py
@@ -14,7 +14,7 @@
 from rhubarbbend.codes import ErrorCode, Verdict
 from rhubarbbend.core.catalog import Catalog
 from rhubarbbend.core.directory import TargetRecord
-from rhubarbbend.core.mirror import Change
+from rhubarbbend.core.mirror import RowChange
 from rhubarbbend.core.placement import Prompt
 from rhubarbbend.http import Exchange, Response
 from rhubarbbend.storage import RowStore
@@ -165,7 +165,7 @@
     tables: tuple[str, ...]
 
     @abc.abstractmethod
-    def decode(self, table: str, changes: Sequence[Change]) -> list[StateChange]:
+    def decode(self, table: str, changes: Sequence[RowChange]) -> list[StateChange]:
         """Decode changed rows; an error in one row is given as `Unreadable`."""
 
 
--- a/rhubarbbend/gateway/_listening.py
+++ b/rhubarbbend/gateway/_listening.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from rhubarbbend import codes
-from rhubarbbend.core.delivery import PaceBook
+from rhubarbbend.core.delivery import LatencyTracker
 from rhubarbbend.core.directory import Target
 from rhubarbbend.gateway._requests import OpenRequest
 from rhubarbbend.gateway._state import Clock, State
@@ -103,14 +103,14 @@
         request: OpenRequest,
         target: Target,
         listener: TargetListener,
-        paces: PaceBook,
+        latencies: LatencyTracker,
         clock: Clock,
     ) -> None:
         self._relay = request.relay
         self._target = target
         self._listener = listener
-        self._first = paces.choose_first(request.route)
-        self._pause = paces.choose_pause(request.route)
+        self._first = latencies.compute_first_event_timeouts(request.route)
+        self._pause = latencies.compute_pause_timeouts(request.route)
         self._clock = clock
 
     def extend(self, silence: float) -> float:
@@ -119,6 +119,6 @@
         patience = self._pause if self._relay.has_begun else self._first
         heard_ago = now - self._listener.find_last_heard(self._target.id, now)
         wait = patience.decide(silence, heard_ago, self._listener.is_lost(self._target.id))
-        if wait.ask:
+        if wait.probe:
             self._listener.ask(self._target)
         return wait.seconds
--- a/rhubarbbend/gateway/_load_telling.py
+++ b/rhubarbbend/gateway/_load_telling.py
@@ -23,7 +23,7 @@
     compute_target_hash,
     is_plausible,
 )
-from rhubarbbend.core.readers import ReaderPlan
+from rhubarbbend.core.readers import ReaderSelector
 from rhubarbbend.gateway._settings import Address
 from rhubarbbend.gateway._state import ASSUMED_INSTANCES, State, read_clock
 
@@ -43,9 +43,9 @@
 class LoadTelling(asyncio.DatagramProtocol):
     """Invariant: what is sent in a second stays within the bound, however many are told."""
 
-    def __init__(self, state: State, plan: ReaderPlan) -> None:
+    def __init__(self, state: State, selector: ReaderSelector) -> None:
         self._state = state
-        self._plan = plan
+        self._selector = selector
         self._name = state.settings.instance
         # Goes on faster than messages do, so that a process comes back with a later number.
         first_number = int(time.time() * NUMBERS_PER_SECOND) % SEQUENCE_MODULUS
@@ -81,7 +81,7 @@
         if reader is not None:
             self._teller.retain_receivers({reader})
             return self._tell(reader, CountScope.SENDER_GROUP, own, 1, now)
-        speakers = self._plan.list_relays(self._state.instances, now)
+        speakers = self._selector.list_relays(self._state.instances, now)
         senders = loads.peer_counts.list_senders(now)
         listeners = [s for s in senders if s not in speakers and s in self._state.instances]
         self._teller.retain_receivers({*speakers, *listeners})
@@ -161,7 +161,7 @@
             self._state.loads.record_peer_update(told, now)
 
     def _choose_reader(self, now: float) -> str | None:
-        return self._plan.choose(self._state.instances, now)
+        return self._selector.select_reader(self._state.instances, now)
 
     def _can_be(self, told: InFlightUpdate) -> bool:
         instances = len(self._state.list_instances())
--- a/rhubarbbend/gateway/_peers.py
+++ b/rhubarbbend/gateway/_peers.py
@@ -17,7 +17,7 @@
 
 from rhubarbbend.core.mirror import TablePage
 from rhubarbbend.core.placement import TargetLoad
-from rhubarbbend.core.readers import InstanceRow, NewsPage, ReaderPlan
+from rhubarbbend.core.readers import InstanceRow, PeerUpdatePage, ReaderSelector
 from rhubarbbend.gateway._settings import Address
 from rhubarbbend.gateway._state import Note, State, read_clock
 from rhubarbbend.http import ConnectionPool, Exchange, HttpFailure, Response, fetch
@@ -67,7 +67,7 @@
     age: float
     held: float
     since_return: float | None
-    news: NewsPage[Note]
+    news: PeerUpdatePage[Note]
     loads: list[TargetLoad]
     at: float
 
@@ -124,7 +124,7 @@
         while not exchange.closed.is_set():
             now = read_clock()
             pages = self._state.mirror.list_changes(query.positions)
-            news = self._state.news.list_after(query.news)
+            news = self._state.peer_updates.list_after(query.news)
             age = self._state.measure_age(now)
             left = query.hold - (now - asked)
             if not lacks_table:
@@ -135,7 +135,7 @@
             await self._state.changed.wait(left)
         away = now - self._state.registry.store_recovered_at
         since_return = away if away <= LONGEST_RETURN else None
-        aged = NewsPage([note.add_age(now) for note in news.items], news.position)
+        aged = PeerUpdatePage([note.add_age(now) for note in news.items], news.position)
         loads = self._state.loads.list_reports_since(query.loads_after, True, now)
         reply = ChangesReply(pages, age, now - asked, since_return, aged, loads, now)
         _respond(exchange, msgspec.msgpack.encode(reply))
@@ -144,10 +144,10 @@
 class PeerClient:
     """Asks and tells other instances. Every call ends within its time-out."""
 
-    def __init__(self, state: State, pool: ConnectionPool, plan: ReaderPlan) -> None:
+    def __init__(self, state: State, pool: ConnectionPool, selector: ReaderSelector) -> None:
         self._state = state
         self._pool = pool
-        self._plan = plan
+        self._selector = selector
         self._silent: set[Address] = set()
         self._name = state.settings.instance
 
@@ -209,7 +209,7 @@
     async def _tell_relays(
         self, path: str, body: bytes, instances: Mapping[str, InstanceRow]
     ) -> list[bytes | None]:
-        names = self._plan.list_relays(instances, read_clock())
+        names = self._selector.list_relays(instances, read_clock())
         return await asyncio.gather(*(self._tell_one(name, path, body) for name in names))
 
     async def _tell_one(self, name: str, path: str, body: bytes) -> bytes | None:
@@ -219,7 +219,7 @@
         reply = await self._send((row.host, row.port), path, body)
         if reply is None:
             # The next in the order passes on for it.
-            self._plan.note_silence(name, read_clock())
+            self._selector.record_no_answer(name, read_clock())
         return reply
 
     async def _send(
--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_serving.py
@@ -10,7 +10,7 @@
 from rhubarbbend import codes
 from rhubarbbend.codes import ErrorCode, Verdict
 from rhubarbbend.core.catalog import Catalog, RequestKind
-from rhubarbbend.core.delivery import AttemptEnd, decide_step, judge
+from rhubarbbend.core.delivery import AttemptOutcome, compute_verdict, decide_step
 from rhubarbbend.gateway._attempts import AttemptRunner, BudgetSpent, pass_on
 from rhubarbbend.gateway._interfaces import BadRequest, CallerProtocol, CallerRequest
 from rhubarbbend.gateway._requests import OpenRequest
@@ -152,7 +152,7 @@
         if self._state.crashes.is_refused(request.digest, now):
             self._refuse(request, codes.CRASHES_TARGETS, now)
             return None
-        self._state.find_retries(service.name).note_request(now)
+        self._state.find_retries(service.name).record_request(now)
         return request
 
     # Delivery.
@@ -204,7 +204,7 @@
             except BudgetSpent:
                 self._give_up(request, codes.RETRY_BUDGET)
                 return
-            if end is AttemptEnd.UNREACHED:
+            if end is AttemptOutcome.UNREACHED:
                 unreached += 1
                 # A request waits for one time-out of those that may be away, not for each.
                 request.excluded |= self._state.health.list_unreachable()
@@ -215,12 +215,12 @@
         """Name the refusal of a request that no target can take now."""
         return codes.OVERLOADED if BUSY_REASONS & shut.keys() else codes.NO_TARGET
 
-    def _go_on(self, request: OpenRequest, end: AttemptEnd) -> bool:
+    def _go_on(self, request: OpenRequest, end: AttemptOutcome) -> bool:
         """Whether another target is to be tried; settles the request if not."""
-        request.progress.note_end(end)
+        request.progress.record_outcome(end)
         step = decide_step(request.route, end, request.progress)
         if step.retry:
-            if end is not AttemptEnd.UNREACHED:
+            if end is not AttemptOutcome.UNREACHED:
                 self._state.metrics.add(f"retry.{end.value}")
             return True
         if step.code is None:
@@ -229,14 +229,14 @@
             self._give_up(request, step.code)
         return False
 
-    def _finish(self, request: OpenRequest, end: AttemptEnd) -> None:
+    def _finish(self, request: OpenRequest, end: AttemptOutcome) -> None:
         if not request.progress.started and request.kept_answer is not None:
             pass_on(request, request.kept_answer)
         now = self._clock()
         self._state.metrics.add(codes.ANSWERS)
         self._state.metrics.observe("answer", request.route.kind.value, now - request.arrived)
         status = 0 if request.answer is None else request.answer.status
-        self._log_end(request, "answered" if end is AttemptEnd.ANSWERED else "failed", status)
+        self._log_end(request, "answered" if end is AttemptOutcome.ANSWERED else "failed", status)
 
     def _expire(self, request: OpenRequest) -> None:
         """End a request whose deadline or time-out has passed."""
@@ -260,7 +260,7 @@
         self._refuse(request, code, self._clock())
 
     def _refuse(self, request: OpenRequest, code: ErrorCode, now: float) -> None:
-        verdict = judge(request.progress)
+        verdict = compute_verdict(request.progress)
         if verdict is Verdict.MAY_HAVE_RUN and code.status in (429, 503):
             # These statuses promise that the request has not run.
             code = codes.TARGET_FAILED
--- a/rhubarbbend/gateway/_state.py
+++ b/rhubarbbend/gateway/_state.py
@@ -12,7 +12,7 @@
 
 from rhubarbbend import codes
 from rhubarbbend.core.catalog import Catalog
-from rhubarbbend.core.delivery import CrashBook
+from rhubarbbend.core.delivery import CrashTracker
 from rhubarbbend.core.directory import Target, TargetRegistry
 from rhubarbbend.core.mirror import Mirror
 from rhubarbbend.core.placement import (
@@ -23,8 +23,8 @@
     PromptLocation,
     TargetLoad,
 )
-from rhubarbbend.core.readers import InstanceRow, NewsLog
-from rhubarbbend.core.shares import ColdAllowance, RetryShare
+from rhubarbbend.core.readers import InstanceRow, PeerUpdateLog
+from rhubarbbend.core.shares import ColdTargetShare, RetryBudgetShare
 from rhubarbbend.gateway._journal import Journal
 from rhubarbbend.gateway._metrics import Metrics
 from rhubarbbend.gateway._settings import Address, GatewaySettings
@@ -84,13 +84,13 @@
         self.registry = TargetRegistry(derive_directory_options(settings))
         self.loads = LoadTracker()
         self.health = HealthTracker()
-        self.cold = ColdAllowance(settings.instance, settings.cold_overshoot, settings.cold_slack)
-        self.crashes = CrashBook()
+        self.cold = ColdTargetShare(settings.instance, settings.cold_overshoot, settings.cold_slack)
+        self.crashes = CrashTracker()
         options = _make_options(settings)
         self.placement = Placement(options, self.registry, self.loads, self.health, self.cold)
         # A new object with each change: what is worked out from it is kept until then.
         self.instances: Mapping[str, InstanceRow] = {}
-        self.news: NewsLog[Note] = NewsLog()
+        self.peer_updates: PeerUpdateLog[Note] = PeerUpdateLog()
         # Up to when it is known that the store held nothing newer.
         self.known_at = -math.inf
         # Something has changed that others may wait for.
@@ -102,17 +102,17 @@
         # Set once callers can be served for the first time.
         self.opened = asyncio.Event()
         self._instance_ids: tuple[str, ...] | None = None
-        self._retries: dict[str, RetryShare] = {}
+        self._retries: dict[str, RetryBudgetShare] = {}
 
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Go by other bounds from now on; what has been counted towards them stays counted."""
         self.settings = settings
         self.timings = derive_timings(settings)
         self.registry.set_options(derive_directory_options(settings))
-        self.cold.set_bound(settings.cold_overshoot, settings.cold_slack)
+        self.cold.set_limit(settings.cold_overshoot, settings.cold_slack)
         self.placement.set_options(_make_options(settings))
         for share in self._retries.values():
-            share.set_bound(settings.retry_ratio, settings.retry_slack, settings.retry_window)
+            share.set_limit(settings.retry_ratio, settings.retry_slack, settings.retry_window)
 
     @property
     def knows_all(self) -> bool:
@@ -127,12 +127,12 @@
         """Whether callers can be served, and new ones may come."""
         return self.knows_all and not self.stopping
 
-    def find_retries(self, service: str) -> RetryShare:
+    def find_retries(self, service: str) -> RetryBudgetShare:
         """Find this instance's part of a service's retry budget."""
         share = self._retries.get(service)
         if share is None:
             own = self.settings
-            share = RetryShare(own.retry_ratio, own.retry_slack, own.retry_window)
+            share = RetryBudgetShare(own.retry_ratio, own.retry_slack, own.retry_window)
             self._retries[service] = share
         return share
 
@@ -178,7 +178,7 @@
         self.loads.merge_reports(note.loads, True, now)
         self.placement.prompt_locations.merge_locations(note.places, now)
         for crash in note.crashes:
-            self.crashes.note_crash(crash.digest, crash.target, now)
+            self.crashes.record_crash(crash.digest, crash.target, now)
             # Found out only with the next crash, it would look as if both went together, and no
             # request would be blamed.
             self.health.record_unreachable(crash.target, now)
@@ -188,7 +188,7 @@
         """Keep a note for those that wait at this instance."""
         if not note.places and not note.crashes:
             return
-        self.news.add(Note(note.places, note.crashes, at=now))
+        self.peer_updates.add(Note(note.places, note.crashes, at=now))
         self.changed.notify_soon()
 
     def note_lost(self, target: Target, now: float) -> None:
--- a/tests/adapter/test_rows.py
+++ b/tests/adapter/test_rows.py
@@ -10,7 +10,7 @@
 from adapter import PlatformStateDecoder
 from rhubarbbend.core.catalog import RequestKind
 from rhubarbbend.core.directory import TargetState
-from rhubarbbend.core.mirror import Change
+from rhubarbbend.core.mirror import RowChange
 from rhubarbbend.gateway import (
     CatalogRead,
     StateChange,
@@ -63,7 +63,7 @@
 
 def decode(table: str, key: str, value: Any) -> list[StateChange]:
     data = None if value is None else msgspec.json.encode(value)
-    return PlatformStateDecoder().decode(table, [Change(key, data)])
+    return PlatformStateDecoder().decode(table, [RowChange(key, data)])
 
 
 def test_decode_configuration() -> None:
--- a/tests/core/limits/test_in_flight.py
+++ b/tests/core/limits/test_in_flight.py
@@ -19,7 +19,7 @@
     for is_open, number in steps:
         if is_open:
             in_flight[number] += 1
-            assert limit.open(accounts[number], 0.0) == (in_flight[number] <= number + 1)
+            assert limit.record_opened(accounts[number], 0.0) == (in_flight[number] <= number + 1)
         elif in_flight[number]:
             in_flight[number] -= 1
-            limit.close(accounts[number])
+            limit.record_closed(accounts[number])
--- a/tests/core/mirror/test_tables.py
+++ b/tests/core/mirror/test_tables.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rhubarbbend.core.mirror import Change, Mirror, MirroredRow, Table, TablePage
+from rhubarbbend.core.mirror import Mirror, MirroredRow, RowChange, Table, TablePage
 
 
 def make_page(
@@ -27,7 +27,7 @@
 def test_a_whole_page_deletes_rows_that_it_does_not_contain() -> None:
     table = Table()
     table.merge(make_page(10, ("x", b"1", 3), ("y", b"2", 4)))
-    assert table.merge(make_page(20, ("y", b"2", 4), whole=True)) == [Change("x", None)]
+    assert table.merge(make_page(20, ("y", b"2", 4), whole=True)) == [RowChange("x", None)]
     assert [row.key for row in table.list_rows()] == ["y"]
 
 
--- a/tests/core/placement/test_loads.py
+++ b/tests/core/placement/test_loads.py
@@ -23,7 +23,7 @@
     PromptPart,
     TargetLoad,
 )
-from rhubarbbend.core.shares import ColdAllowance
+from rhubarbbend.core.shares import ColdTargetShare
 
 ENGINES = Service("llm", 830, 0.0, 0.0, Engine(64, 480_000, 163_840))
 REQUESTS_PER_S = 140.0
@@ -51,7 +51,7 @@
             )
             self.registry.register(record, -100.0)
         self.registry.mark_initial_read_complete()
-        cold = ColdAllowance(name, 1.5, 5.0)
+        cold = ColdTargetShare(name, 1.5, 5.0)
         options = PlacementOptions("a", FACTOR)
         self.placement = Placement(options, self.registry, self.loads, HealthTracker(), cold)
         self.last_exchange_at = 0.0
--- a/tests/core/placement/test_placement.py
+++ b/tests/core/placement/test_placement.py
@@ -21,7 +21,7 @@
     Reason,
     SourceOptions,
 )
-from rhubarbbend.core.shares import ColdAllowance
+from rhubarbbend.core.shares import ColdTargetShare
 
 ENGINES = Service("llm", 360, 3.0, 11.0, Engine(64, 480_000, 163_840))
 BOOKINGS = Service("bookings", 96, 0.0, 0.0)
@@ -41,7 +41,7 @@
         self.registry = TargetRegistry()
         self.loads = LoadTracker()
         self.health = HealthTracker()
-        self.cold = ColdAllowance("a-1", 1.5, 5.0)
+        self.cold = ColdTargetShare("a-1", 1.5, 5.0)
         options = PlacementOptions("a", 2.0)
         self.placement = Placement(options, self.registry, self.loads, self.health, self.cold)
         self.engines = [f"engine-{number}" for number in range(9)]
--- a/tests/core/readers/test_readers.py
+++ b/tests/core/readers/test_readers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rhubarbbend.core.readers import InstanceRow, NewsLog, ReaderPlan, list_zone_readers
+from rhubarbbend.core.readers import InstanceRow, PeerUpdateLog, ReaderSelector, list_zone_readers
 
 
 def make_zone(count: int, zone: str = "a", link: float = 100.0) -> dict[str, InstanceRow]:
@@ -33,9 +33,9 @@
     zone = make_zone(20)
     readers = list_zone_readers(zone, "a")
     for name in zone:
-        chosen = ReaderPlan(name, "a").choose(zone, 0.0)
+        chosen = ReaderSelector(name, "a").select_reader(zone, 0.0)
         assert chosen in readers if name not in readers else chosen is None
-        assert ReaderPlan(name, "a").is_reader(zone, 0.0) == (name in readers)
+        assert ReaderSelector(name, "a").is_reader(zone, 0.0) == (name in readers)
 
 
 def test_all_instances_select_the_same_successors_of_silent_readers() -> None:
@@ -48,30 +48,30 @@
     for name in zone:
         if name in crashed:
             continue
-        plan = ReaderPlan(name, "a")
+        selector = ReaderSelector(name, "a")
         for reader in crashed:
-            plan.note_silence(reader, 0.0)
-        selected.add(plan.choose(zone, 1.0))
-        assert plan.is_reader(zone, 1.0) == (name in successors)
+            selector.record_no_answer(reader, 0.0)
+        selected.add(selector.select_reader(zone, 1.0))
+        assert selector.is_reader(zone, 1.0) == (name in successors)
     assert selected == {None, *successors}
 
 
 def test_the_backoff_of_a_silent_reader_doubles() -> None:
     zone = make_zone(6)
     reader = list_zone_readers(zone, "a")[0]
-    plan = ReaderPlan(next(name for name in zone if name != reader), "a")
-    plan.note_silence(reader, 0.0)
-    assert plan.choose(zone, 1.9) != reader
-    assert plan.choose(zone, 2.1) == reader
-    plan.note_silence(reader, 2.1)
-    assert plan.choose(zone, 6.0) != reader
-    plan.note_answer(reader)
-    assert plan.choose(zone, 6.0) == reader
+    selector = ReaderSelector(next(name for name in zone if name != reader), "a")
+    selector.record_no_answer(reader, 0.0)
+    assert selector.select_reader(zone, 1.9) != reader
+    assert selector.select_reader(zone, 2.1) == reader
+    selector.record_no_answer(reader, 2.1)
+    assert selector.select_reader(zone, 6.0) != reader
+    selector.record_answer(reader)
+    assert selector.select_reader(zone, 6.0) == reader
 
 
 def test_relays_are_readers_of_large_zones_and_all_instances_of_small_ones() -> None:
     everyone = {**make_zone(20, "a"), **make_zone(20, "b"), **make_zone(3, "c")}
-    relays = ReaderPlan("a-0", "a").list_relays(everyone, 0.0)
+    relays = ReaderSelector("a-0", "a").list_relays(everyone, 0.0)
     by_zone = {zone: sum(name.startswith(zone) for name in relays) for zone in "abc"}
     assert by_zone["b"] == 2 and by_zone["c"] == 3
     assert "a-0" not in relays
@@ -82,7 +82,7 @@
     # large enough for a reader. If it notified only that one, the others would not learn of it.
     zone = make_zone(5)
     others = {name: row for name, row in zone.items() if name != "a-4"}
-    assert sorted(ReaderPlan("a-4", "a").list_relays(others, 0.0)) == sorted(others)
+    assert sorted(ReaderSelector("a-4", "a").list_relays(others, 0.0)) == sorted(others)
 
 
 def make_fleet(*sizes: int) -> dict[str, InstanceRow]:
@@ -91,7 +91,9 @@
 
 
 def list_all_readers(fleet: dict[str, InstanceRow]) -> set[str]:
-    return {name for name, row in fleet.items() if ReaderPlan(name, row.zone).is_reader(fleet, 0)}
+    return {
+        name for name, row in fleet.items() if ReaderSelector(name, row.zone).is_reader(fleet, 0)
+    }
 
 
 @pytest.mark.parametrize(
@@ -132,7 +134,7 @@
     reader_of_zone = {fleet[name].zone: name for name in list_all_readers(fleet)}
     assert reader_of_zone
     for name, row in fleet.items():
-        chosen = ReaderPlan(name, row.zone).choose(fleet, 0.0)
+        chosen = ReaderSelector(name, row.zone).select_reader(fleet, 0.0)
         if row.zone in reader_of_zone and name != reader_of_zone[row.zone]:
             assert chosen == reader_of_zone[row.zone]
 
@@ -142,10 +144,12 @@
     # one by one would take longer than the partition, so one silent instance counts for its zone.
     fleet = make_fleet(4, 4, 4, 3, 4)
     for name in ("d-0", "d-1", "d-2"):
-        plan = ReaderPlan(name, "d")
+        selector = ReaderSelector(name, "d")
         asked = 0
-        while (chosen := plan.choose(fleet, 1.0)) is not None and fleet[chosen].zone != "d":
-            plan.note_silence(chosen, 1.0)
+        while (chosen := selector.select_reader(fleet, 1.0)) is not None and fleet[
+            chosen
+        ].zone != "d":
+            selector.record_no_answer(chosen, 1.0)
             asked += 1
         assert asked <= 4
         assert chosen is None or chosen.startswith("d")
@@ -153,12 +157,12 @@
 
 def test_relays_of_small_zones_are_their_shared_readers() -> None:
     fleet = make_fleet(20, 4, 4, 4)
-    relays = ReaderPlan("a-0", "a").list_relays(fleet, 0.0)
+    relays = ReaderSelector("a-0", "a").list_relays(fleet, 0.0)
     assert len([name for name in relays if not name.startswith("a")]) == 2
 
 
 def test_items_after_a_position_are_listed_once_and_in_order() -> None:
-    log: NewsLog[str] = NewsLog()
+    log: PeerUpdateLog[str] = PeerUpdateLog()
     begin = log.list_after(None)
     assert begin.items == [] and begin.position == 0
     for item in "xyz":
@@ -171,7 +175,7 @@
 
 
 def test_a_listener_that_is_far_behind_gets_the_items_that_are_kept() -> None:
-    log: NewsLog[int] = NewsLog()
+    log: PeerUpdateLog[int] = PeerUpdateLog()
     for item in range(2_500):
         log.add(item)
     page = log.list_after(10)
--- a/tests/core/routing/test_affinity.py
+++ b/tests/core/routing/test_affinity.py
@@ -8,7 +8,7 @@
 import attrs
 
 from rhubarbbend.core.routing import POLICIES, Candidate, Choice, Reason, RoutedRequest
-from rhubarbbend.core.routing._tickets import Place, Ticket
+from rhubarbbend.core.routing._tickets import ContextLocation, Ticket
 
 PREFILL_RATE = 10_000.0
 
@@ -31,7 +31,10 @@
 
 
 def make_request(
-    chat: str = "chat", tokens: int = 4_000, places: tuple[Place, ...] = (), **changes: Any
+    chat: str = "chat",
+    tokens: int = 4_000,
+    places: tuple[ContextLocation, ...] = (),
+    **changes: Any,
 ) -> RoutedRequest:
     """Make a request, with a ticket if there are places."""
     ticket = Ticket(places) if places else None
@@ -49,9 +52,11 @@
     return plan(make_request(chat), targets)[0].target
 
 
-def make_place(number: int, tokens: int = 4_000, boot: str | None = None) -> Place:
+def make_place(number: int, tokens: int = 4_000, boot: str | None = None) -> ContextLocation:
     """Make a place of a ticket."""
-    return Place(f"engine-{number}", f"boot-{number}" if boot is None else boot, 0.0, tokens)
+    return ContextLocation(
+        f"engine-{number}", f"boot-{number}" if boot is None else boot, 0.0, tokens
+    )
 
 
 def test_chat_without_ticket_has_the_same_home_at_every_instance() -> None:
@@ -139,7 +144,7 @@
     targets = make_targets(9)
     home = find_home("chat", targets)
     other = next(t for t in targets if t.target != home and t.known)
-    held = Place(other.target, other.boot_id, 0.0, 4_000)
+    held = ContextLocation(other.target, other.boot_id, 0.0, 4_000)
     assert plan(make_request(places=(held,)), targets)[0].target == other.target
 
 
--- a/tests/core/routing/test_search.py
+++ b/tests/core/routing/test_search.py
@@ -7,7 +7,7 @@
 from rhubarbbend.core.configuration import Account, Model, Service, Zone
 from rhubarbbend.core.messages import SlotReply, SlotRequest, ZoneReply
 from rhubarbbend.core.owners._grants import REFUSAL_FULL, REFUSAL_NOT_OWNER, REFUSAL_NOT_READY
-from rhubarbbend.core.routing._tickets import Place, Ticket, encode_ticket
+from rhubarbbend.core.routing._tickets import ContextLocation, Ticket, encode_ticket
 from tests.core.driver import KINDS, SERVICE, Driver, list_target
 
 OTHER_ZONE = "almaty-b"
@@ -45,7 +45,7 @@
 def make_ticket(driver: Driver, target: str, boot_id: str) -> str:
     """Make a ticket for the chat of `send_chat`."""
     secret = driver.core.context.identity.secret
-    held = Ticket((Place(target, boot_id, 0.0, 400),))
+    held = Ticket((ContextLocation(target, boot_id, 0.0, 400),))
     return encode_ticket(secret, "agents", "c1", held)
 
 
--- a/tests/core/test_tokens.py
+++ b/tests/core/test_tokens.py
@@ -12,7 +12,7 @@
     encode_reserved_key,
     is_valid_key,
 )
-from rhubarbbend.core.routing._tickets import Place, Ticket, decode_ticket, encode_ticket
+from rhubarbbend.core.routing._tickets import ContextLocation, Ticket, decode_ticket, encode_ticket
 
 SECRET = b"a secret of the tests"
 NAMES = st.text(st.characters(min_codepoint=33, max_codepoint=126), min_size=1, max_size=30)
@@ -20,7 +20,7 @@
     ReservedKey, NAMES, st.integers(0, 2**63), st.integers(0, 2**40), st.integers(0, 2**40)
 )
 PLACES = st.builds(
-    Place, st.text(max_size=20), st.text(max_size=20), st.floats(0, 1e10), st.just(7)
+    ContextLocation, st.text(max_size=20), st.text(max_size=20), st.floats(0, 1e10), st.just(7)
 )
 DETERMINISTIC_SETTINGS = settings(max_examples=200, deadline=None, derandomize=True)
 
@@ -50,7 +50,7 @@
 @DETERMINISTIC_SETTINGS
 @given(st.lists(PLACES, max_size=2), NAMES, NAMES)
 def test_tickets_round_trip_for_their_chat_only(
-    places: list[Place], account: str, chat: str
+    places: list[ContextLocation], account: str, chat: str
 ) -> None:
     ticket = Ticket(tuple(places))
     token = encode_ticket(SECRET, account, chat, ticket)
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -9,7 +9,7 @@
 import pytest
 
 from rhubarbbend.core.mirror import MirroredRow, TablePage
-from rhubarbbend.core.readers import InstanceRow, NewsPage, ReaderPlan
+from rhubarbbend.core.readers import InstanceRow, PeerUpdatePage, ReaderSelector
 from rhubarbbend.gateway import _instance_list
 from rhubarbbend.gateway._follower import StateFollower
 from rhubarbbend.gateway._interfaces import StateChange, StateDecoder
@@ -96,9 +96,9 @@
     address = ("127.0.0.1", 1)
     settings = GatewaySettings("front-0", "zone-a", address, address, address)
     state = State(settings, TABLES, Journal("front-0", descriptor=2))
-    plan = ReaderPlan("front-0", "zone-a")
-    peers = PeerClient(state, ConnectionPool(1.0), plan)
-    return state, StateFollower(state, store, Decoder(), peers, plan)
+    selector = ReaderSelector("front-0", "zone-a")
+    peers = PeerClient(state, ConnectionPool(1.0), selector)
+    return state, StateFollower(state, store, Decoder(), peers, selector)
 
 
 def follow(work: Callable[[State, ScriptedStore], Awaitable[None]]) -> None:
@@ -187,7 +187,7 @@
     async def answer(self: PeerClient, peer: object) -> ChangesReply:
         asked.append(asyncio.get_running_loop().time())
         pages = {"config": TablePage([], 1, True)}
-        return ChangesReply(pages, 0.0, 0.0, None, NewsPage([], 0), [], 0.0)
+        return ChangesReply(pages, 0.0, 0.0, None, PeerUpdatePage([], 0), [], 0.0)
 
     monkeypatch.setattr(PeerClient, "ask_changes", answer)
 
@@ -219,7 +219,7 @@
     # Two instances were lost without a word; their rows made everybody's part of the bounds smaller
     # for good. One of them is back and writes its row just as it is judged; the store refuses to
     # drop that, and the store is not taken for lost because of it.
-    monkeypatch.setattr("rhubarbbend.core.readers._leases.ROW_LIFE", 0.0)
+    monkeypatch.setattr("rhubarbbend.core.readers._leases.ROW_LIFETIME_S", 0.0)
 
     async def work(state: State, store: ScriptedStore) -> None:
         store.pages["instances"] = make_instance_page(7, "front-0", "front-8", "front-9")
@@ -279,7 +279,7 @@
         self: PeerClient, peer: object, hold: float, at: object
     ) -> ChangesReply | None:
         await asyncio.sleep(0.05)
-        reply = ChangesReply({}, 0.0, 0.0, None, NewsPage([], 0), [], 0.0)
+        reply = ChangesReply({}, 0.0, 0.0, None, PeerUpdatePage([], 0), [], 0.0)
         return reply if reader_lives else None
 
     monkeypatch.setattr(PeerClient, "wait_changes", answer)
--- a/tests/gateway/test_load_telling.py
+++ b/tests/gateway/test_load_telling.py
@@ -9,7 +9,7 @@
 from rhubarbbend.core.catalog import Catalog, Engine, Service, TrafficLimits
 from rhubarbbend.core.mirror import TablePage
 from rhubarbbend.core.placement import CountScope, InFlightUpdate, compute_target_hash
-from rhubarbbend.core.readers import InstanceRow, ReaderPlan
+from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._journal import Journal
 from rhubarbbend.gateway._load_telling import LoadTelling
 from rhubarbbend.gateway._settings import GatewaySettings
@@ -30,7 +30,7 @@
         state.put_instance(f"front-{number}", InstanceRow(f"zone-{number}", "10.0.0.9", number))
     engines = Service("llm", CONNECTIONS, 0.0, 0.0, Engine(24, 1_000, 1))
     state.catalog = Catalog(1, [], [engines], None, TrafficLimits(1, 1, 1.0, 1.0))
-    return state, LoadTelling(state, ReaderPlan("front-0", "zone-0"))
+    return state, LoadTelling(state, ReaderSelector("front-0", "zone-0"))
 
 
 @pytest.mark.parametrize(
