--- a/loadtool/_balancer.py
+++ b/loadtool/_balancer.py
@@ -53,7 +53,13 @@
         now = asyncio.get_running_loop().time()
         try:
             response, _ = await fetch(
-                self._pool, address, "GET", READY_PATH, now, fresh=True, timeout=CHECK_TIMEOUT
+                self._pool,
+                address,
+                "GET",
+                READY_PATH,
+                now,
+                new_connection=True,
+                timeout=CHECK_TIMEOUT,
             )
         except HttpFailure:
             return False
--- a/loadtool/_cluster.py
+++ b/loadtool/_cluster.py
@@ -12,7 +12,7 @@
 
 from loadtool._processes import ManagedProcess, ProcessGroup, pick_port
 from rhubarbbend.http import ConnectionPool, HttpFailure, fetch
-from rhubarbbend.operators import OperatorClient, make_operator_key
+from rhubarbbend.operators import OperatorClient, derive_operator_key
 
 HOST: Final = "127.0.0.1"
 SECRET: Final = "a secret of the stand-in fleet"
@@ -268,7 +268,13 @@
             now = asyncio.get_running_loop().time()
             try:
                 response, _ = await fetch(
-                    self._pool, node.address, "GET", "/readyz", now, fresh=True, timeout=1.0
+                    self._pool,
+                    node.address,
+                    "GET",
+                    "/readyz",
+                    now,
+                    new_connection=True,
+                    timeout=1.0,
                 )
                 if response.status == 200:
                     return
@@ -282,7 +288,7 @@
             return []
 
         def show() -> tuple[int, list[Any]]:
-            key = make_operator_key(SECRET.encode())
+            key = derive_operator_key(SECRET.encode())
             with OperatorClient((HOST, node.operator_port), key) as client:
                 return client.show("config").version, list(client.show("targets"))
 
--- a/loadtool/_slopes_core.py
+++ b/loadtool/_slopes_core.py
@@ -21,10 +21,10 @@
     SlotRequest,
     TargetLoad,
 )
-from rhubarbbend.peers import FrameSeal, decode_frame, encode_frame
+from rhubarbbend.peers import FrameAuthenticator, decode_frame, encode_frame
 
 # Signs frames as the links do.
-SEAL = FrameSeal(b"a secret of the slopes")
+SIGNER = FrameAuthenticator(b"a secret of the slopes")
 OWN: Final = "entry-000"
 ZONE: Final = "zone-0"
 ZONES: Final = 5
@@ -353,12 +353,12 @@
         fit("heartbeat, encode", "us", "load in it", sample(
             sizes, lambda n: lambda: _time(lambda: _close_frame("entry-005", beats[n])))),
         fit("heartbeat, decode", "us", "load in it", sample(
-            sizes, lambda n: lambda: _time(lambda: decode_frame(SEAL.open(frames[n][4:]))))),
+            sizes, lambda n: lambda: _time(lambda: decode_frame(SIGNER.verify(frames[n][4:]))))),
     ]  # fmt: skip
 
 
 def _close_frame(sender: str, message: Message) -> bytes:
-    return SEAL.close(encode_frame(sender, message))
+    return SIGNER.sign(encode_frame(sender, message))
 
 
 def list_message_bytes() -> dict[str, int]:
--- a/rhubarbbend/cli/_operate.py
+++ b/rhubarbbend/cli/_operate.py
@@ -16,7 +16,7 @@
 from rhubarbbend.cli._options import Options
 from rhubarbbend.cli._status import ExitStatus
 from rhubarbbend.core.configuration import TargetState, Zone
-from rhubarbbend.operators import SCHEMA, OperatorClient, make_operator_key
+from rhubarbbend.operators import SCHEMA, OperatorClient, derive_operator_key
 from rhubarbbend.settings import SecretSettings, parse_address, read_secret
 
 POLL_INTERVAL: Final = 0.2
@@ -33,7 +33,7 @@
 
 def _connect(options: Options) -> OperatorClient:
     secret = read_secret(SecretSettings(options.secret_file, options.secret_env))
-    return OperatorClient(parse_address(options.instance), make_operator_key(secret))
+    return OperatorClient(parse_address(options.instance), derive_operator_key(secret))
 
 
 def describe_error(error: BaseException) -> str:
--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core.directory import Target
 from rhubarbbend.core.placement import Choice
 from rhubarbbend.gateway._interfaces import TargetAnswer, TargetOrder, TargetProtocol
-from rhubarbbend.gateway._listening import StreamPatience, TargetListener
+from rhubarbbend.gateway._listening import StreamTimeoutPolicy, TargetListener
 from rhubarbbend.gateway._requests import KeptAnswer, OpenRequest
 from rhubarbbend.gateway._state import Clock, State, read_clock
 from rhubarbbend.http import (
@@ -88,7 +88,7 @@
         is_trial = health.begin_trial(target.id, now)
         try:
             # Only a new connection shows whether a target that was lost is there again.
-            connection = await self._pool.take(
+            connection = await self._pool.acquire(
                 target.address, now, is_trial, CONNECT_TIMEOUT, max_idle=limit
             )
         except HttpFailure as failure:
@@ -154,7 +154,7 @@
         instances = len(self._state.list_instances())
         share = self._state.find_retries(request.service.name)
         if not share.try_acquire(instances, self._clock()):
-            self._pool.give_back(connection, self._clock())
+            self._pool.release(connection, self._clock())
             raise BudgetSpent
 
     def _send(self, request: OpenRequest, choice: Choice, connection: Connection) -> None:
@@ -206,7 +206,7 @@
             self._log("stray_answer", request, target, carried=answer.request)
             if not answer.request:
                 raise HttpFailure(SendStage.RESPONSE, "the answer carries no id")
-            await connection.skip_response(STRAY_TIMEOUT)
+            await connection.discard_response(STRAY_TIMEOUT)
         if answer.held is not None:
             self._take_word(request, target, answer.held)
         return answer
@@ -229,20 +229,23 @@
         """
         if not _may_move(request):
             return await connection.receive_head(_compute_rest(request, self._clock()))
-        patience = self._make_patience(request, target)
+        timeout_policy = self._make_timeout_policy(request, target)
         began = self._clock()
         while True:
-            more = patience.extend(self._clock() - began)
+            more = timeout_policy.compute_remaining_s(self._clock() - began)
             try:
                 return await connection.receive_head(more)
             except HttpFailure as failure:
                 # The system, too, says "time-out" of a connection that it has given up.
                 is_silent = failure.reason == REASON_TIMEOUT and not connection.closed
-                if not is_silent or patience.extend(self._clock() - began) <= 0.0:
+                if (
+                    not is_silent
+                    or timeout_policy.compute_remaining_s(self._clock() - began) <= 0.0
+                ):
                     raise
 
-    def _make_patience(self, request: OpenRequest, target: Target) -> StreamPatience:
-        return StreamPatience(request, target, self._listener, self._latencies, self._clock)
+    def _make_timeout_policy(self, request: OpenRequest, target: Target) -> StreamTimeoutPolicy:
+        return StreamTimeoutPolicy(request, target, self._listener, self._latencies, self._clock)
 
     async def _receive_rest(
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
@@ -288,16 +291,16 @@
 
         def note_begun() -> None:
             self._latencies.record_first_event(request.route, self._clock() - sent_at)
-            connection.reset_pause()
+            connection.reset_longest_receive_gap()
 
         relay.begin_run(resumed, note_begun)
         # A stream that cannot be resumed is lost if it is given up, so it is waited for.
         rest = _compute_rest(request, self._clock())
-        patience = self._make_patience(request, target) if _may_move(request) else rest
-        await connection.relay_body(relay, patience)
+        timeout_policy = self._make_timeout_policy(request, target) if _may_move(request) else rest
+        await connection.relay_body(relay, timeout_policy)
         if not relay.is_whole():
             raise HttpFailure(SendStage.RESPONSE, "the stream ended within an event")
-        self._latencies.record_longest_pause(request.route, connection.longest_pause)
+        self._latencies.record_longest_pause(request.route, connection.longest_receive_gap_s)
         if not relay.started:
             request.answer = answer
             request.progress.started = True
@@ -331,13 +334,13 @@
         Each lowers the time for which connections to the target may rest, so that a target that
         breaks off connections of any age is found out by the next new one.
         """
-        if connection.rested < LEAST_REST or failure.stage is not SendStage.SENT:
+        if connection.idle_time_s < LEAST_REST or failure.stage is not SendStage.SENT:
             return False
         if failure.reason == REASON_TIMEOUT:
             return False
-        self._pool.note_dead(connection.address, connection.rested, self._clock())
+        self._pool.record_dead_idle(connection.address, connection.idle_time_s, self._clock())
         self._state.metrics.add(codes.IDLE_CONNECTIONS_DEAD)
-        self._log("idle_connection_dead", request, target, rested=round(connection.rested, 3))
+        self._log("idle_connection_dead", request, target, rested=round(connection.idle_time_s, 3))
         return True
 
     def _settle(
@@ -348,8 +351,8 @@
             connection.close()
             return
         if answer.idle_limit is not None:
-            connection.idle_limit = answer.idle_limit - IDLE_MARGIN
-        self._pool.give_back(connection, self._clock())
+            connection.idle_timeout_s = answer.idle_limit - IDLE_MARGIN
+        self._pool.release(connection, self._clock())
 
     def _note_health(self, target: Target, request: OpenRequest, end: AttemptOutcome) -> None:
         now = self._clock()
--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -20,7 +20,7 @@
 from rhubarbbend.gateway._peers import ChangesReply, PeerClient, ReaderPosition
 from rhubarbbend.gateway._settings import Address
 from rhubarbbend.gateway._state import INSTANCE_TABLE, Note, State, read_clock
-from rhubarbbend.storage import HistoryGone, RowStore, StoreError
+from rhubarbbend.storage import HistoryCompacted, RowStore, StoreError
 
 # Changes that come in quick succession are read together: each call costs the store as much as
 # one with more of them.
@@ -139,7 +139,7 @@
         """Ask for everything anew, over new connections: this process has been away."""
         self._state.known_at = -math.inf
         self._begin_reading("paused")
-        self._store.reset()
+        self._store.close_connections()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(work))
@@ -166,7 +166,7 @@
             is_first = not self._state.mirror.tables[table].known
             try:
                 changed = await self._read_once(table, whole)
-            except HistoryGone:
+            except HistoryCompacted:
                 # The whole table is read next; until then what is known holds.
                 self._log("history_gone", table=table)
                 whole = True
@@ -204,7 +204,7 @@
             page = await self._store.read_table(table)
         else:
             wait = self._choose_wait(table, asked)
-            page = await self._store.follow_table(table, mirrored.position, wait)
+            page = await self._store.watch_table(table, mirrored.position, wait)
         now = read_clock()
         self._note_answer(now)
         if table == self._state.config_table:
@@ -238,7 +238,7 @@
         if self._contact.note_failure(now):
             self._log("store_lost", table=table, reason=str(error))
             # Waits on other connections may have been lost with this one.
-            self._store.reset()
+            self._store.close_connections()
 
     # The zone's reader.
 
@@ -321,7 +321,7 @@
     def _stop_reading(self, reader: str) -> None:
         if self._reads.is_set():
             self._reads.clear()
-            self._store.reset()
+            self._store.close_connections()
             self._log("waits_at_reader", reader=reader)
 
     async def _share_loads(self) -> None:
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -197,8 +197,8 @@
             if away > PAUSE_MARGIN:
                 self.state.metrics.add(codes.PAUSES)
                 self._log("paused", seconds=round(away, 3))
-                self._pool.drop_all()
-                self._peer_pool.drop_all()
+                self._pool.close_all_idle()
+                self._peer_pool.close_all_idle()
                 self._follower.refresh()
 
     async def _tell_places(self) -> None:
@@ -214,8 +214,8 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL)
             now = read_clock()
-            self._pool.drop_expired(now)
-            self._peer_pool.drop_expired(now)
+            self._pool.close_expired(now)
+            self._peer_pool.close_expired(now)
             self._apply_limits()
             if now - self._settings_read_at >= SETTINGS_INTERVAL:
                 self._reload()
@@ -255,7 +255,7 @@
             ServerLimits(
                 max_header_bytes=limits.max_header_bytes,
                 max_body_bytes=limits.max_body_bytes,
-                max_held_bytes=int(self.settings.memory * HELD_PART),
+                max_buffered_body_bytes=int(self.settings.memory * HELD_PART),
                 head_timeout=limits.header_timeout,
                 idle_timeout=limits.idle_timeout,
                 max_connections=max(64, self.settings.max_descriptors - RESERVED_DESCRIPTORS),
@@ -280,7 +280,7 @@
         killed_at = began + self.settings.stop_grace - STOP_MARGIN
         self.state.stopping = True
         self._log("stopping", open=self._requests.open)
-        self._callers.announce_stop()
+        self._callers.start_draining()
         if self.settings.peers is not None:
             self._spawn(self._follower.instances.leave())
         await asyncio.sleep(min(OUT_OF_ROTATION, self.settings.stop_grace / 3))
--- a/rhubarbbend/gateway/_instance_list.py
+++ b/rhubarbbend/gateway/_instance_list.py
@@ -18,7 +18,7 @@
 from rhubarbbend.gateway._intake import StateIntake
 from rhubarbbend.gateway._peers import Hello, PeerClient
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
-from rhubarbbend.storage import RowChanged, RowStore, StoreError
+from rhubarbbend.storage import RowStore, StoreError, VersionConflict
 
 # The list of instances only divides bounds among them, and those that join say so themselves.
 INSTANCES_INTERVAL: Final = 20.0
@@ -134,7 +134,7 @@
         """Take a lost instance off the list, unless it has just written its row again."""
         try:
             await self._store.remove_row(INSTANCE_TABLE, row.key, row.version)
-        except RowChanged:
+        except VersionConflict:
             self._log("row_renewed", row=row.key)
         else:
             self._log("row_lapsed", row=row.key)
--- a/rhubarbbend/gateway/_listening.py
+++ b/rhubarbbend/gateway/_listening.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core.directory import Target
 from rhubarbbend.gateway._requests import OpenRequest
 from rhubarbbend.gateway._state import Clock, State
-from rhubarbbend.http import BodyPatience, Connection, ConnectionPool, HttpFailure
+from rhubarbbend.http import BodyTimeoutPolicy, Connection, ConnectionPool, HttpFailure
 
 # For so long after it took a connection a target is not asked again.
 VOUCHED: Final = 0.5
@@ -55,7 +55,7 @@
         """Give when anything came last from a target that answers are awaited of."""
         if now < self._vouched_until.get(target, -math.inf):
             return now
-        times = (connection.last_received for connection in self._open.get(target, ()))
+        times = (connection.last_received_at for connection in self._open.get(target, ()))
         return max(times, default=-math.inf)
 
     def is_lost(self, target: str) -> bool:
@@ -81,7 +81,7 @@
             # Silence and a connection that is not taken say together what one of them may not.
             self._state.health.record_unreachable(target.id, now)
             self._state.note_lost(target, now)
-            self._pool.drop_address(target.address)
+            self._pool.close_idle_to(target.address)
             self._state.journal.write(
                 "silent_target_lost", now, target=target.id, reason=failure.reason
             )
@@ -92,10 +92,10 @@
         self._lost_at.pop(target.id, None)
         self._state.health.record_connected(target.id, now)
         connection.idle_since = now
-        self._pool.lay(connection)
+        self._pool.add_idle(connection)
 
 
-class StreamPatience(BodyPatience):
+class StreamTimeoutPolicy(BodyTimeoutPolicy):
     """How long one run of a stream is waited for: its first event, then each next one."""
 
     def __init__(
@@ -113,12 +113,12 @@
         self._pause = latencies.compute_pause_timeouts(request.route)
         self._clock = clock
 
-    def extend(self, silence: float) -> float:
+    def compute_remaining_s(self, silence: float) -> float:
         """Give for how many seconds more to wait; 0: not any longer."""
         now = self._clock()
-        patience = self._pause if self._relay.has_begun else self._first
+        timeouts = self._pause if self._relay.has_begun else self._first
         heard_ago = now - self._listener.find_last_heard(self._target.id, now)
-        wait = patience.decide(silence, heard_ago, self._listener.is_lost(self._target.id))
+        wait = timeouts.decide(silence, heard_ago, self._listener.is_lost(self._target.id))
         if wait.probe:
             self._listener.ask(self._target)
         return wait.seconds
--- a/rhubarbbend/gateway/_streams.py
+++ b/rhubarbbend/gateway/_streams.py
@@ -77,9 +77,9 @@
         """Whether the body ended with the end of an event."""
         return not self._overlong and not self._buffer.strip()
 
-    def is_behind(self) -> bool:
+    def is_write_buffer_full(self) -> bool:
         """Whether the caller reads slower than events come."""
-        return self._exchange.is_behind()
+        return self._exchange.is_write_buffer_full()
 
     async def drain(self) -> None:
         """Wait for the caller."""
--- a/rhubarbbend/http/__init__.py
+++ b/rhubarbbend/http/__init__.py
@@ -4,15 +4,15 @@
 decides what to do with a request: routing and retries are decided by the core.
 """
 
+from rhubarbbend.http._body_forwarder import BodyRelay, BodyTimeoutPolicy
 from rhubarbbend.http._connection import Connection, Response
 from rhubarbbend.http._exchange import Exchange
 from rhubarbbend.http._failures import REASON_TIMEOUT, HttpFailure, SendStage
 from rhubarbbend.http._pool import ConnectionPool, fetch
-from rhubarbbend.http._pump import BodyPatience, BodyRelay
 from rhubarbbend.http._server import HttpServer, ServerLimits
 
 __all__ = [
-    "BodyPatience",
+    "BodyTimeoutPolicy",
     "BodyRelay",
     "Connection",
     "ConnectionPool",
--- a/rhubarbbend/http/_pump.py
+++ b/rhubarbbend/http/_body_forwarder.py
@@ -23,8 +23,8 @@
 class BodyRelay(abc.ABC):
     """Receives a body part by part and passes it on.
 
-    Hooks: `write` is called for each part and must not block. If `is_behind` returns True, reading
-    the body is paused until `drain` has returned.
+    Hooks: `write` is called for each part and must not block. If `is_write_buffer_full` returns
+    True, reading the body is paused until `drain` has returned.
     """
 
     @abc.abstractmethod
@@ -32,7 +32,7 @@
         """Accept a part of the body."""
 
     @abc.abstractmethod
-    def is_behind(self) -> bool:
+    def is_write_buffer_full(self) -> bool:
         """Return whether too much accepted data is not sent yet."""
 
     @abc.abstractmethod
@@ -40,24 +40,24 @@
         """Wait until enough of the accepted data is sent."""
 
 
-class BodyPatience(abc.ABC):
+class BodyTimeoutPolicy(abc.ABC):
     """Decides how long to wait for a body that makes no progress."""
 
     @abc.abstractmethod
-    def extend(self, silence: float) -> float:
+    def compute_remaining_s(self, silence: float) -> float:
         """Return how many more seconds to wait after `silence` seconds without data.
 
         The body fails if the result is 0 or negative.
         """
 
 
-class FixedTimeoutPolicy(BodyPatience):
+class FixedTimeoutPolicy(BodyTimeoutPolicy):
     """Allows a fixed time without progress, in seconds."""
 
     def __init__(self, limit: float) -> None:
         self._limit = limit
 
-    def extend(self, silence: float) -> float:
+    def compute_remaining_s(self, silence: float) -> float:
         """Return the rest of the fixed time."""
         return self._limit - silence
 
@@ -71,7 +71,7 @@
         protocol: ClientProtocol,
         relay: BodyRelay,
         ended: asyncio.Future[None],
-        timeout_policy: BodyPatience,
+        timeout_policy: BodyTimeoutPolicy,
     ) -> None:
         self._conn = conn
         self._protocol = protocol
@@ -84,7 +84,7 @@
 
     def start(self) -> None:
         """Forward the data received so far, then each part as it arrives."""
-        self._protocol.last_received = self._loop.time()
+        self._protocol.last_received_at = self._loop.time()
         self._check_progress()
         self._parse()
         self._protocol.set_sink(self.receive)
@@ -122,7 +122,11 @@
                     self._fail(REASON_CLOSED)
         except h11.RemoteProtocolError as error:
             self._fail(str(error))
-        if self._drain_task is None and not self._ended.done() and self._relay.is_behind():
+        if (
+            self._drain_task is None
+            and not self._ended.done()
+            and self._relay.is_write_buffer_full()
+        ):
             self._drain_task = self._loop.create_task(self._apply_backpressure())
 
     async def _apply_backpressure(self) -> None:
@@ -138,12 +142,14 @@
             return
         finally:
             self._drain_task = None
-        self._protocol.last_received = self._loop.time()
+        self._protocol.last_received_at = self._loop.time()
         self._protocol.resume_reading()
 
     def _check_progress(self) -> None:
         """Fail a body that makes no progress, unless reading it is paused."""
-        remaining = self._timeout_policy.extend(self._loop.time() - self._protocol.last_received)
+        remaining = self._timeout_policy.compute_remaining_s(
+            self._loop.time() - self._protocol.last_received_at
+        )
         if self._drain_task is None and remaining <= 0.0:
             self._fail(REASON_NO_PROGRESS)
             return
--- a/rhubarbbend/http/_connection.py
+++ b/rhubarbbend/http/_connection.py
@@ -9,6 +9,12 @@
 import h11
 import msgspec
 
+from rhubarbbend.http._body_forwarder import (
+    BodyForwarder,
+    BodyRelay,
+    BodyTimeoutPolicy,
+    FixedTimeoutPolicy,
+)
 from rhubarbbend.http._failures import (
     REASON_CLOSED,
     REASON_NO_PROGRESS,
@@ -17,7 +23,6 @@
     SendStage,
 )
 from rhubarbbend.http._protocol import ClientProtocol
-from rhubarbbend.http._pump import BodyForwarder, BodyPatience, BodyRelay, FixedTimeoutPolicy
 
 MAX_HEAD_BYTES: Final = 65_536
 DEFAULT_CONNECT_TIMEOUT_S: Final = 1.0
@@ -46,9 +51,9 @@
     __slots__ = (
         "address",
         "idle_since",
-        "idle_limit",
+        "idle_timeout_s",
         "reused",
-        "rested",
+        "idle_time_s",
         "_conn",
         "_protocol",
         "_sent",
@@ -58,10 +63,10 @@
         self.address = address
         self.idle_since = 0.0
         # Seconds for which the peer keeps the connection open while it is idle; None if not stated.
-        self.idle_limit: float | None = None
+        self.idle_timeout_s: float | None = None
         self.reused = False
         # Seconds for which the connection was idle before it was reused; 0 if it is new.
-        self.rested = 0.0
+        self.idle_time_s = 0.0
         self._sent: list[h11.Event] = []
         self._conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._protocol = protocol
@@ -91,21 +96,21 @@
         return cls(address, protocol)
 
     @property
-    def last_received(self) -> float:
+    def last_received_at(self) -> float:
         """Return when data was last received, in the event loop's time.
 
         Before any data is received, it is the time at which the connection was established.
         """
-        return self._protocol.last_received
+        return self._protocol.last_received_at
 
     @property
-    def longest_pause(self) -> float:
+    def longest_receive_gap_s(self) -> float:
         """Return the longest time between two received parts of a relayed body, in seconds."""
-        return self._protocol.longest_pause
+        return self._protocol.longest_receive_gap_s
 
-    def reset_pause(self) -> None:
+    def reset_longest_receive_gap(self) -> None:
         """Reset `longest_pause`, so that it covers only what follows."""
-        self._protocol.longest_pause = 0.0
+        self._protocol.longest_receive_gap_s = 0.0
 
     @property
     def traffic(self) -> int:
@@ -147,7 +152,7 @@
         self._protocol.traffic += len(data)
         self._protocol.transport.write(data)
 
-    async def skip_response(self, timeout: float) -> None:
+    async def discard_response(self, timeout: float) -> None:
         """Discard the body of a response that belongs to no request and prepare for the next head.
 
         A target may send a response twice; the duplicate then arrives where the response to the
@@ -206,7 +211,7 @@
         except (OSError, h11.RemoteProtocolError) as error:
             raise HttpFailure(SendStage.RESPONSE, str(error)) from error
 
-    async def relay_body(self, relay: BodyRelay, timeout_policy: BodyPatience | float) -> None:
+    async def relay_body(self, relay: BodyRelay, timeout_policy: BodyTimeoutPolicy | float) -> None:
         """Pass each part of the body to a relay in the event loop iteration that received it.
 
         `timeout_policy` limits the time without progress; a number is a fixed limit in seconds.
@@ -215,7 +220,7 @@
         """
         loop = asyncio.get_running_loop()
         ended: asyncio.Future[None] = loop.create_future()
-        if not isinstance(timeout_policy, BodyPatience):
+        if not isinstance(timeout_policy, BodyTimeoutPolicy):
             timeout_policy = FixedTimeoutPolicy(timeout_policy)
         forwarder = BodyForwarder(self._conn, self._protocol, relay, ended, timeout_policy)
         try:
--- a/rhubarbbend/http/_exchange.py
+++ b/rhubarbbend/http/_exchange.py
@@ -87,13 +87,13 @@
         if data:
             self._send(h11.Data(data=data))
 
-    def is_behind(self) -> bool:
+    def is_write_buffer_full(self) -> bool:
         """Return whether the write buffer is above its high-water mark."""
         return self._writer.transport.get_write_buffer_size() > WRITE_HIGH_WATER_BYTES
 
     async def drain(self) -> None:
         """Wait until the write buffer has drained; abort if the client stalls."""
-        if not self.is_behind():
+        if not self.is_write_buffer_full():
             return
         try:
             async with asyncio.timeout(STALL_TIMEOUT_S):
--- a/rhubarbbend/http/_pool.py
+++ b/rhubarbbend/http/_pool.py
@@ -46,35 +46,35 @@
         # Bytes sent and received by `fetch`: load reports, probes and platform calls.
         self.fetch_traffic = 0
 
-    async def take(
+    async def acquire(
         self,
         address: Address,
         now: float,
-        fresh: bool,
+        new_connection: bool,
         timeout: float = DEFAULT_CONNECT_TIMEOUT_S,
         max_idle: float | None = None,
     ) -> Connection:
-        """Return an idle connection, or a new one if `fresh` is set or none is usable.
+        """Return an idle connection, or a new one if `new_connection` is set or none is usable.
 
         With `max_idle`, use only a connection that was idle for at most that many seconds; the
         others stay in the pool for other requests. `now` is in the event loop's time. Raise
         `HttpFailure` if a new connection is not established within `timeout` seconds.
         """
         idle = self._idle.get(address)
-        while idle and not fresh:
+        while idle and not new_connection:
             if max_idle is not None and now - idle[-1].idle_since > max_idle:
                 break
             connection = idle.pop()
             if self._is_usable(connection, now):
                 connection.reused = True
-                connection.rested = now - connection.idle_since
+                connection.idle_time_s = now - connection.idle_since
                 return connection
             connection.close()
         return await Connection.open(address, timeout)
 
     def _is_usable(self, connection: Connection, now: float) -> bool:
         idle_time = now - connection.idle_since
-        limit = connection.idle_limit
+        limit = connection.idle_timeout_s
         if idle_time > self._max_idle or (limit is not None and idle_time > limit):
             return False
         if not self.is_idle_time_safe(connection.address, idle_time, now):
@@ -86,7 +86,7 @@
         limit = self._idle_limits.get(address)
         return limit is None or now >= limit.until or idle_time < limit.seconds
 
-    def note_dead(self, address: Address, idle_time: float, now: float) -> None:
+    def record_dead_idle(self, address: Address, idle_time: float, now: float) -> None:
         """Record that a connection to `address` was dead after `idle_time` seconds idle.
 
         The peer, or a middlebox, drops idle connections earlier than it states, and every request
@@ -98,28 +98,28 @@
                 IDLE_LIMIT_FRACTION * idle_time, now + IDLE_LIMIT_LIFETIME_S
             )
 
-    def drop_all(self) -> None:
+    def close_all_idle(self) -> None:
         """Close every idle connection.
 
         Used after this process was suspended: the connections may have died meanwhile.
         """
         for address in list(self._idle):
-            self.drop_address(address)
+            self.close_idle_to(address)
 
-    def give_back(self, connection: Connection, now: float) -> None:
+    def release(self, connection: Connection, now: float) -> None:
         """Return a connection to the pool; close it if it cannot be reused or the pool is full."""
         idle = self._idle.get(connection.address, ())
         if len(idle) < self._max_per_address and connection.make_reusable():
             connection.idle_since = now
-            self.lay(connection)
+            self.add_idle(connection)
         else:
             connection.close()
 
-    def lay(self, connection: Connection) -> None:
+    def add_idle(self, connection: Connection) -> None:
         """Add a reusable connection to the pool, idle since its `idle_since`."""
         self._idle.setdefault(connection.address, deque()).append(connection)
 
-    def drop_expired(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close connections that were idle too long or are closed, and expire learned limits."""
         for address in list(self._idle):
             idle = self._idle[address]
@@ -130,7 +130,7 @@
         for address in [a for a, limit in self._idle_limits.items() if now >= limit.until]:
             del self._idle_limits[address]
 
-    def drop_address(self, address: Address) -> None:
+    def close_idle_to(self, address: Address) -> None:
         """Close every idle connection to an address at which a fault was detected."""
         for connection in self._idle.pop(address, ()):
             connection.close()
@@ -145,24 +145,25 @@
     body: bytes = b"",
     headers: list[tuple[str, str]] | None = None,
     timeout: float = 2.0,
-    fresh: bool = False,
-    stall: float | None = None,
+    new_connection: bool = False,
+    progress_timeout: float | None = None,
 ) -> tuple[Response, bytes]:
     """Send one small request and return the head and the whole body of its response.
 
-    The response must be complete within `timeout` seconds. With `stall`, only its head must arrive
-    within `timeout`, and then each part of its body within `stall` seconds of the one before,
-    which allows for a large response over a slow link. Raise `HttpFailure` on failure.
+    The response must be complete within `timeout` seconds. With `progress_timeout`, only its head
+    must arrive within `timeout`, and then each part of its body within `progress_timeout` seconds
+    of the one before, which allows for a large response over a slow link. Raise `HttpFailure` on
+    failure.
     """
-    connection = await pool.take(address, now, fresh)
+    connection = await pool.acquire(address, now, new_connection)
     traffic_before = connection.traffic
     try:
         async with asyncio.timeout(timeout) as total_timeout:
             await connection.send(method, target, headers or [], body)
             response = await connection.receive_head(timeout)
-            if stall is not None:
+            if progress_timeout is not None:
                 total_timeout.reschedule(None)
-            parts = [part async for part in connection.receive_body(stall or timeout)]
+            parts = [part async for part in connection.receive_body(progress_timeout or timeout)]
     except TimeoutError as error:
         connection.close()
         raise HttpFailure(SendStage.SENT, REASON_TIMEOUT) from error
@@ -171,5 +172,5 @@
         raise
     finally:
         pool.fetch_traffic += connection.traffic - traffic_before
-    pool.give_back(connection, now)
+    pool.release(connection, now)
     return response, b"".join(parts)
--- a/rhubarbbend/http/_protocol.py
+++ b/rhubarbbend/http/_protocol.py
@@ -47,9 +47,9 @@
     def __init__(self) -> None:
         self.eof = False
         self.error: Exception | None = None
-        self.last_received = 0.0
+        self.last_received_at = 0.0
         # The longest time between two parts passed to a sink, in seconds.
-        self.longest_pause = 0.0
+        self.longest_receive_gap_s = 0.0
         self.traffic = 0
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -138,15 +138,17 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and enable TCP keep-alive."""
         self._transport = cast(asyncio.Transport, transport)
-        self.last_received = self._loop.time()
+        self.last_received_at = self._loop.time()
         set_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """Pass data to the sink, or buffer it for the reader."""
         self.traffic += len(data)
-        previous, self.last_received = self.last_received, self._loop.time()
+        previous, self.last_received_at = self.last_received_at, self._loop.time()
         if self._sink is not None:
-            self.longest_pause = max(self.longest_pause, self.last_received - previous)
+            self.longest_receive_gap_s = max(
+                self.longest_receive_gap_s, self.last_received_at - previous
+            )
             self._sink(data)
             return
         self._buffer += data
--- a/rhubarbbend/http/_server.py
+++ b/rhubarbbend/http/_server.py
@@ -38,7 +38,7 @@
     max_header_bytes: int = 32_768
     max_body_bytes: int = 4 * 1024 * 1024
     # Total over all connections: many bodies, each within its own limit, could exhaust the memory.
-    max_held_bytes: int = 256 * 1024 * 1024
+    max_buffered_body_bytes: int = 256 * 1024 * 1024
     head_timeout: float = 10.0
     body_timeout: float = 30.0
     idle_timeout: float = 75.0
@@ -73,7 +73,7 @@
             self._accept, sock=listener, backlog=LISTEN_BACKLOG
         )
 
-    def announce_stop(self) -> None:
+    def start_draining(self) -> None:
         """Send `Connection: close` in each response head from now on."""
         self._drain_state.draining = True
 
@@ -83,7 +83,7 @@
         Requests in flight continue. A request sent on an idle connection before its client could
         learn of the stop is still served; closing the connection at once would break it off.
         """
-        self.announce_stop()
+        self.start_draining()
         if self._stopping:
             return
         self._stopping = True
@@ -203,7 +203,7 @@
                 size += len(event.data)
                 if size > self._limits.max_body_bytes:
                     raise RequestRejected(413, "body too large")
-                if self._buffered_body_bytes + size > self._limits.max_held_bytes:
+                if self._buffered_body_bytes + size > self._limits.max_buffered_body_bytes:
                     raise RequestRejected(503, "too many bytes of requests are held")
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
--- a/rhubarbbend/operators/__init__.py
+++ b/rhubarbbend/operators/__init__.py
@@ -2,7 +2,7 @@
 
 from rhubarbbend.operators._checks import find_unknown_target_kinds
 from rhubarbbend.operators._client import OperatorClient
-from rhubarbbend.operators._schema import SCHEMA, make_operator_key
+from rhubarbbend.operators._schema import SCHEMA, derive_operator_key
 from rhubarbbend.operators._server import ChangeAnswer, OperatorServer
 
 __all__ = [
@@ -11,5 +11,5 @@
     "OperatorClient",
     "OperatorServer",
     "find_unknown_target_kinds",
-    "make_operator_key",
+    "derive_operator_key",
 ]
--- a/rhubarbbend/operators/_schema.py
+++ b/rhubarbbend/operators/_schema.py
@@ -21,6 +21,6 @@
 SCHEMA: Final[Any] = _load_schema()
 
 
-def make_operator_key(secret: bytes) -> str:
+def derive_operator_key(secret: bytes) -> str:
     """Derive the operators' key from the fleet's secret. The secret itself is never sent."""
     return hmac.new(secret, KEY_CONTEXT, hashlib.blake2b).hexdigest()[:64]
--- a/rhubarbbend/peers/_codec.py
+++ b/rhubarbbend/peers/_codec.py
@@ -22,43 +22,43 @@
 MAX_FRAME_BYTES: Final = 8 * 1024 * 1024
 SCHEMA_FILE: Final = "peers.thrift"
 LENGTH_BYTES: Final = 4
-SEAL_BYTES: Final = 8
-SEAL_CONTEXT: Final = b"rhubarbbend peer frame 1"
+TAG_BYTES: Final = 8
+TAG_CONTEXT: Final = b"rhubarbbend peer frame 1"
 
 
 class FrameError(Exception):
     """A frame is not a valid envelope of exactly one message, or fails authentication."""
 
 
-class FrameSeal:
-    """Authenticate frames with a keyed hash (the seal) derived from the fleet's secret.
+class FrameAuthenticator:
+    """Authenticate frames with a keyed hash (the tag) derived from the fleet's secret.
 
     The decoder trusts the lengths inside a frame: a corrupted length can keep it busy for minutes,
     during which the instance does nothing else. Only frames that an instance of the fleet has
-    sealed, and that arrived unchanged, may reach the decoder.
+    signed, and that arrived unchanged, may reach the decoder.
     """
 
     def __init__(self, secret: bytes) -> None:
-        self._key = hmac.new(secret, SEAL_CONTEXT, hashlib.blake2b).digest()
+        self._key = hmac.new(secret, TAG_CONTEXT, hashlib.blake2b).digest()
 
-    def close(self, frame: bytes) -> bytes:
-        """Return the sealed frame: four bytes of length, then the seal, then the envelope."""
+    def sign(self, frame: bytes) -> bytes:
+        """Return the signed frame: four bytes of length, then the tag, then the envelope."""
         data = frame[LENGTH_BYTES:]
         tag = self._compute_tag(data)
-        return (len(data) + SEAL_BYTES).to_bytes(LENGTH_BYTES, "big") + tag + data
+        return (len(data) + TAG_BYTES).to_bytes(LENGTH_BYTES, "big") + tag + data
 
-    def open(self, frame: bytes) -> bytes:
-        """Verify a sealed frame without its length prefix and return its envelope.
+    def verify(self, frame: bytes) -> bytes:
+        """Verify a signed frame without its length prefix and return its envelope.
 
-        Raises `FrameError` if the seal does not match.
+        Raises `FrameError` if the tag does not match.
         """
-        data = frame[SEAL_BYTES:]
-        if not hmac.compare_digest(frame[:SEAL_BYTES], self._compute_tag(data)):
-            raise FrameError("frame rejected: its seal does not match its content")
+        data = frame[TAG_BYTES:]
+        if not hmac.compare_digest(frame[:TAG_BYTES], self._compute_tag(data)):
+            raise FrameError("frame rejected: its tag does not match its content")
         return data
 
     def _compute_tag(self, data: bytes) -> bytes:
-        return hashlib.blake2b(data, digest_size=SEAL_BYTES, key=self._key).digest()
+        return hashlib.blake2b(data, digest_size=TAG_BYTES, key=self._key).digest()
 
 
 class Envelope:
@@ -117,7 +117,7 @@
 
 
 def encode_frame(sender: str, message: Message) -> bytes:
-    """Encode a message as an unsealed frame: four bytes of length, then the envelope."""
+    """Encode a message as an unsigned frame: four bytes of length, then the envelope."""
     envelope = Envelope()
     envelope.sender = sender
     setattr(envelope, message.FIELD, message)
@@ -130,7 +130,7 @@
 def decode_frame(data: bytes) -> tuple[str, Message]:
     """Decode an envelope, without length prefix, and return its sender and message.
 
-    The seal must have been verified before. Raises `FrameError` if the envelope does not hold a
+    The tag must have been verified before. Raises `FrameError` if the envelope does not hold a
     sender and exactly one message.
     """
     envelope = Envelope()
--- a/rhubarbbend/peers/_links.py
+++ b/rhubarbbend/peers/_links.py
@@ -17,8 +17,8 @@
 from rhubarbbend.core.messages import Message
 from rhubarbbend.peers._codec import (
     MAX_FRAME_BYTES,
+    FrameAuthenticator,
     FrameError,
-    FrameSeal,
     decode_frame,
     encode_frame,
 )
@@ -52,7 +52,7 @@
 
     def __init__(self, secret: bytes, on_message: OnMessage, on_bad_frame: OnBadFrame) -> None:
         self._hello = make_hello(secret)
-        self._seal = FrameSeal(secret)
+        self._authenticator = FrameAuthenticator(secret)
         self._on_message = on_message
         self._on_bad_frame = on_bad_frame
         self._server: asyncio.Server | None = None
@@ -109,7 +109,7 @@
                 raise FrameError("frame rejected: its length exceeds MAX_FRAME_BYTES")
             data = await reader.readexactly(length)
             self.traffic += length + 4
-            sender, message = decode_frame(self._seal.open(data))
+            sender, message = decode_frame(self._authenticator.verify(data))
             self._on_message(sender, message)
 
 
@@ -202,7 +202,7 @@
     ) -> None:
         self.idle_timeout = idle_timeout
         self.hello = make_hello(secret)
-        self._seal = FrameSeal(secret)
+        self._authenticator = FrameAuthenticator(secret)
         self._own_id = own_id
         self._on_lost = on_lost
         self._links: dict[str, _Link] = {}
@@ -223,7 +223,7 @@
             link = self._links[peer] = _Link(self, peer, address)
         if self._last_encoded[0] is not message:
             envelope = encode_frame(self._own_id, message)
-            self._last_encoded = (message, self._seal.close(envelope))
+            self._last_encoded = (message, self._authenticator.sign(envelope))
         frame = self._last_encoded[1]
         link.send(frame)
 
--- a/rhubarbbend/shell/_attempts.py
+++ b/rhubarbbend/shell/_attempts.py
@@ -25,7 +25,7 @@
     SendStage,
     fetch,
 )
-from rhubarbbend.shell._callers import OpenRequest
+from rhubarbbend.shell._open_request import OpenRequest
 from rhubarbbend.shell._requests import strip_service_name
 from rhubarbbend.targets import TARGET_KINDS, TargetKind
 from rhubarbbend.targets._base import ATTEMPT_HEADER
@@ -145,7 +145,9 @@
         connection: Connection | None = None
         reused = False
         try:
-            connection = await self._pool.take((action.host, action.port), started_at, action.fresh)
+            connection = await self._pool.acquire(
+                (action.host, action.port), started_at, action.fresh
+            )
             reused = connection.reused
             path = (
                 request.path
@@ -172,7 +174,7 @@
                 request.start(response, action.ticket)
                 await connection.relay_body(request, action.progress_timeout)
                 self._complete_attempt(action.attempt, response.status, started_at, request)
-            self._pool.give_back(connection, self._now())
+            self._pool.release(connection, self._now())
         except HttpFailure as failure:
             self._handle_failure(action.attempt, failure, reused, request, connection)
         except WrongAttemptId:
@@ -187,7 +189,7 @@
         started_at = self._now()
         connection: Connection | None = None
         try:
-            connection = await self._pool.take((action.host, action.port), started_at, True)
+            connection = await self._pool.acquire((action.host, action.port), started_at, True)
             offset = request.relayed
             path = kind.resume_path(action.attempt, offset)
             await connection.send("GET", path, [(ATTEMPT_HEADER, action.attempt)], b"")
@@ -201,7 +203,7 @@
             request.start(response, action.ticket)
             await connection.relay_body(request, action.progress_timeout)
             self._complete_attempt(action.attempt, response.status, started_at, request)
-            self._pool.give_back(connection, self._now())
+            self._pool.release(connection, self._now())
         except HttpFailure as failure:
             # The request was sent before, so the failure counts as one after sending,
             # regardless of the stage at which the resume failed.
@@ -318,7 +320,7 @@
                 kind.report_path,
                 self._now(),
                 timeout=PROBE_TIMEOUT_S,
-                fresh=True,
+                new_connection=True,
             )
             boot_id = kind.read_report(data).boot_id
         except HttpFailure as failure:
@@ -339,7 +341,7 @@
             )
             report = kind.read_report(data)
         except (HttpFailure, msgspec.MsgspecError) as error:
-            self._pool.drop_address((action.host, action.port))
+            self._pool.close_idle_to((action.host, action.port))
             self._submit_event(events.ReportFailed(action.target, str(error)))
             return
         self._submit_event(
--- a/rhubarbbend/shell/_caller_server.py
+++ b/rhubarbbend/shell/_caller_server.py
@@ -14,8 +14,8 @@
 from rhubarbbend.core import actions, events
 from rhubarbbend.http import Exchange
 from rhubarbbend.settings import LimitSettings
-from rhubarbbend.shell._callers import OpenRequest
 from rhubarbbend.shell._metrics import Metrics
+from rhubarbbend.shell._open_request import OpenRequest
 from rhubarbbend.shell._requests import (
     HEALTH_PATH,
     KEYS_PATH,
--- a/rhubarbbend/shell/_callers.py
+++ b/rhubarbbend/shell/_open_request.py
@@ -81,9 +81,11 @@
             self.exchange.write(data)
         self.relayed += len(data)
 
-    def is_behind(self) -> bool:
+    def is_write_buffer_full(self) -> bool:
         """Return whether the caller reads more slowly than its response arrives."""
-        return self.can_respond and self.exchange is not None and self.exchange.is_behind()
+        return (
+            self.can_respond and self.exchange is not None and self.exchange.is_write_buffer_full()
+        )
 
     async def drain(self) -> None:
         """Wait until a slow caller has caught up."""
--- a/rhubarbbend/shell/_platform_calls.py
+++ b/rhubarbbend/shell/_platform_calls.py
@@ -43,7 +43,7 @@
 
     async def _read_list(self) -> None:
         try:
-            entries = await self._client.read_list()
+            entries = await self._client.read_instance_list()
         except PlatformError:
             self._metrics.add(codes.PLATFORM_ERRORS)
             return
--- a/rhubarbbend/shell/_runtime.py
+++ b/rhubarbbend/shell/_runtime.py
@@ -25,15 +25,15 @@
 from rhubarbbend.core.messages import Message, ReservedReply, ReservedRun
 from rhubarbbend.core.requests._responses import make_peer_request_id
 from rhubarbbend.http import ConnectionPool, HttpServer, ServerLimits
-from rhubarbbend.operators import ChangeAnswer, OperatorServer, make_operator_key
+from rhubarbbend.operators import ChangeAnswer, OperatorServer, derive_operator_key
 from rhubarbbend.peers import PeerLinks, PeerListener
 from rhubarbbend.settings import Settings, parse_address, read_operator_secret
 from rhubarbbend.shell._attempts import AttemptRunner
 from rhubarbbend.shell._caller_server import CallerServer
-from rhubarbbend.shell._callers import OpenRequest
+from rhubarbbend.shell._control_traffic import ControlTraffic
 from rhubarbbend.shell._metrics import Metrics
+from rhubarbbend.shell._open_request import OpenRequest
 from rhubarbbend.shell._platform_calls import PlatformCalls
-from rhubarbbend.shell._traffic import ControlTraffic
 from rhubarbbend.stop_signals import STOP_SIGNALS, ignore_late_stop
 from rhubarbbend.storage import PLATFORMS
 from rhubarbbend.trace import Recorder
@@ -87,7 +87,7 @@
         operator_secret = read_operator_secret(settings.operators, secret)
         self._operator_server = OperatorServer(
             self.core,
-            make_operator_key(operator_secret),
+            derive_operator_key(operator_secret),
             self._propose_change,
             self.submit_event,
             self._now,
@@ -285,7 +285,7 @@
     def _set_ready(self, action: actions.SetReady) -> None:
         self._caller_server.ready = action.ready
         if not action.ready:
-            self._http_server.announce_stop()
+            self._http_server.start_draining()
         eliot.log_message("readiness", ready=action.ready)
 
     # Background work.
@@ -300,8 +300,8 @@
         while True:
             await asyncio.sleep(min(HOUSEKEEPING_INTERVAL_S, self.settings.statsd.interval))
             now = self._now()
-            self._pool.drop_expired(now)
-            self._platform.drop_idle(now)
+            self._pool.close_expired(now)
+            self._platform.close_expired_idle(now)
             dropped, self._peer_links.dropped = self._peer_links.dropped, 0
             if dropped:
                 self.metrics.add(codes.PEER_DROPPED, dropped)
--- a/rhubarbbend/storage/__init__.py
+++ b/rhubarbbend/storage/__init__.py
@@ -9,17 +9,17 @@
 import importlib
 from typing import TYPE_CHECKING, Any, Final
 
-from rhubarbbend.storage._rows import HistoryGone, RowChanged, RowStore, StoreError
+from rhubarbbend.storage._rows import HistoryCompacted, RowStore, StoreError, VersionConflict
 
 if TYPE_CHECKING:
     from rhubarbbend.storage._base import PLATFORMS, PlatformClient, PlatformError
 
 __all__ = [
-    "HistoryGone",
+    "HistoryCompacted",
     "PLATFORMS",
     "PlatformClient",
     "PlatformError",
-    "RowChanged",
+    "VersionConflict",
     "RowStore",
     "StoreError",
 ]
--- a/rhubarbbend/storage/_base.py
+++ b/rhubarbbend/storage/_base.py
@@ -55,10 +55,10 @@
         """Store an object."""
 
     @abc.abstractmethod
-    async def read_list(self) -> list[Listed]:
+    async def read_instance_list(self) -> list[Listed]:
         """Return the instances and targets, with their addresses as seen from the own zone."""
 
-    def drop_idle(self, now: float) -> None:  # noqa: B027  (optional hook)
+    def close_expired_idle(self, now: float) -> None:  # noqa: B027  (optional hook)
         """Close connections that were idle too long."""
 
 
--- a/rhubarbbend/storage/_http.py
+++ b/rhubarbbend/storage/_http.py
@@ -91,14 +91,14 @@
         status, _ = await self._send("PUT", f"/objects/{quote(name)}", data)
         self._check_status(status)
 
-    async def read_list(self) -> list[Listed]:
+    async def read_instance_list(self) -> list[Listed]:
         """Return the instances and targets, with their addresses as seen from the own zone."""
         query = urlencode({"zone": self.zone})
         return (await self._call("GET", f"/instances?{query}", b"", ListResponse)).entries
 
-    def drop_idle(self, now: float) -> None:
+    def close_expired_idle(self, now: float) -> None:
         """Close connections that were idle too long."""
-        self._pool.drop_expired(now)
+        self._pool.close_expired(now)
 
     async def _call(self, method: str, target: str, body: bytes, response_type: type[T]) -> T:
         status, data = await self._send(method, target, body)
@@ -121,7 +121,7 @@
                 body=body,
                 headers=headers,
                 timeout=self.timeout,
-                fresh=self._use_new_connection,
+                new_connection=self._use_new_connection,
             )
         except HttpFailure as failure:
             # All pooled connections may be dead; use new ones until one of them has worked.
--- a/rhubarbbend/storage/_rows.py
+++ b/rhubarbbend/storage/_rows.py
@@ -11,11 +11,11 @@
     """A store call without a usable response; a write may have taken effect nevertheless."""
 
 
-class HistoryGone(StoreError):
+class HistoryCompacted(StoreError):
     """The store no longer has the changes after the requested version: read the whole table."""
 
 
-class RowChanged(StoreError):
+class VersionConflict(StoreError):
     """A row does not have the version that a write expected; nothing was written."""
 
 
@@ -31,10 +31,10 @@
         """Return every row of a table."""
 
     @abc.abstractmethod
-    async def follow_table(self, table: str, after: int, wait: float) -> TablePage:
-        """Return the changes after version `after`, waiting up to `wait` seconds for one.
+    async def watch_table(self, table: str, after_version: int, wait: float) -> TablePage:
+        """Return the changes after `after_version`, waiting up to `wait` seconds for one.
 
-        Raise `HistoryGone` if the store no longer has the changes after that version.
+        Raise `HistoryCompacted` if the store no longer has the changes after that version.
         """
 
     @abc.abstractmethod
@@ -43,8 +43,8 @@
 
     @abc.abstractmethod
     async def remove_row(self, table: str, key: str, version: int | None = None) -> None:
-        """Delete a row; raise `RowChanged` if it does not have `version`, if one is given."""
+        """Delete a row; raise `VersionConflict` if it does not have `version`, if one is given."""
 
     @abc.abstractmethod
-    def reset(self) -> None:
+    def close_connections(self) -> None:
         """Abort calls in progress and close every connection, since any of them may be dead."""
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -11,7 +11,7 @@
 
 from adapter import PlatformRowStore
 from adapter._store import RowsResponse, WireRow
-from rhubarbbend.storage import RowChanged, StoreError
+from rhubarbbend.storage import StoreError, VersionConflict
 from standins._tables import Tables
 
 # Simulates a slow link: one chunk per pause. A table of 100 KB takes 1.3 s in total, which is
@@ -48,7 +48,7 @@
     async def run() -> None:
         server = await start_slow_server(make_large_table())
         store = PlatformRowStore(server.sockets[0].getsockname())
-        page = await (store.follow_table("op", 1, 0.0) if feed else store.read_table("op"))
+        page = await (store.watch_table("op", 1, 0.0) if feed else store.read_table("op"))
         assert [len(row.value or b"") for row in page.rows] == [75_000]
         server.close()
 
@@ -78,12 +78,12 @@
         await store.put_row("instances", "front-0", b"first")
         outdated = (await store.read_table("instances")).rows[0]
         await store.put_row("instances", "front-0", b"again")
-        with pytest.raises(RowChanged):
+        with pytest.raises(VersionConflict):
             await store.remove_row("instances", "front-0", outdated.version)
         current = (await store.read_table("instances")).rows[0]
         assert current.value == b"again"
         await store.remove_row("instances", "front-0", current.version)
         assert (await store.read_table("instances")).rows == []
-        store.reset()
+        store.close_connections()
 
     asyncio.run(asyncio.wait_for(run(), 10.0))
--- a/tests/core/accepted/test_follower.py
+++ b/tests/core/accepted/test_follower.py
@@ -7,7 +7,7 @@
 from rhubarbbend.core import Core, actions, events
 from rhubarbbend.core.configuration import Item
 from rhubarbbend.core.messages import ConfigQuery, ConfigReply, Heartbeat
-from rhubarbbend.peers._codec import MAX_FRAME_BYTES, FrameSeal, encode_frame
+from rhubarbbend.peers._codec import MAX_FRAME_BYTES, FrameAuthenticator, encode_frame
 from tests.core.drive import (
     introduce,
     make_core,
@@ -324,7 +324,7 @@
     sizes: list[int] = []
     while waiting:
         action = waiting[0]
-        sizes.append(len(FrameSeal(b"secret").close(encode_frame(sender, action.message))))
+        sizes.append(len(FrameAuthenticator(b"secret").sign(encode_frame(sender, action.message))))
         emitted = cores[action.peer].handle(events.PeerSaid(sender, action.message), 1.3)
         waiting = pick(emitted, actions.SendPeer)
         sender = action.peer
--- a/tests/fleet/load.py
+++ b/tests/fleet/load.py
@@ -11,7 +11,7 @@
 import attrs
 
 from loadtool import Answer, Caller, Chat, Cluster, Node
-from rhubarbbend.operators import OperatorClient, make_operator_key
+from rhubarbbend.operators import OperatorClient, derive_operator_key
 
 MODEL = "camp-large"
 SECRET = b"a secret of the stand-in fleet"
@@ -120,7 +120,7 @@
 
     def show() -> dict[str, str]:
         address = ("127.0.0.1", node.operator_port)
-        with OperatorClient(address, make_operator_key(SECRET)) as client:
+        with OperatorClient(address, derive_operator_key(SECRET)) as client:
             return {view.id: view.owner for view in client.show("targets")}
 
     return await asyncio.to_thread(show)
--- a/tests/fleet/test_answers.py
+++ b/tests/fleet/test_answers.py
@@ -212,7 +212,7 @@
 
 def test_error_event_is_the_last_of_a_cut_stream() -> None:
     """The documented event parses as JSON, so that a caller's library can show it."""
-    from rhubarbbend.shell._callers import STREAM_ERROR
+    from rhubarbbend.shell._open_request import STREAM_ERROR
 
     text = (STREAM_ERROR % b"target_failed").decode()
     data = text.split("data: ", 1)[1]
--- a/tests/fleet/views.py
+++ b/tests/fleet/views.py
@@ -10,12 +10,12 @@
 
 from loadtool import Answer, Caller, Chat, Cluster
 from loadtool._cluster import HOST, SECRET, Node
-from rhubarbbend.operators import OperatorClient, make_operator_key
+from rhubarbbend.operators import OperatorClient, derive_operator_key
 
 
 def connect(node: Node) -> OperatorClient:
     """Make an operator's client of an instance."""
-    return OperatorClient((HOST, node.operator_port), make_operator_key(SECRET.encode()))
+    return OperatorClient((HOST, node.operator_port), derive_operator_key(SECRET.encode()))
 
 
 async def show(node: Node, what: str) -> Any:
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -18,7 +18,7 @@
 from rhubarbbend.gateway._settings import GatewaySettings
 from rhubarbbend.gateway._state import State
 from rhubarbbend.http import ConnectionPool
-from rhubarbbend.storage import RowChanged, RowStore, StoreError
+from rhubarbbend.storage import RowStore, StoreError, VersionConflict
 from tests.gateway.harness import run, wait_until
 
 TABLES = ("config", "targets")
@@ -57,7 +57,7 @@
             raise StoreError("timeout")
         return self.pages[table]
 
-    async def follow_table(self, table: str, after: int, wait: float) -> TablePage:
+    async def watch_table(self, table: str, after_version: int, wait: float) -> TablePage:
         self.calls += 1
         self.followed.append(table)
         if self.failing:
@@ -69,11 +69,11 @@
             raise StoreError("timeout")
         ends = asyncio.get_running_loop().time() + wait
         resets = self.resets
-        while self.pages[table].position <= after:
+        while self.pages[table].position <= after_version:
             if self.resets > resets:
                 raise StoreError("given up")
             if asyncio.get_running_loop().time() >= ends:
-                return TablePage([], after, False)
+                return TablePage([], after_version, False)
             await asyncio.sleep(0.02)
         page = self.pages[table]
         return TablePage(page.rows, page.position, False)
@@ -86,9 +86,9 @@
         self.calls += 1
         self.removed.append((key, version))
         if key in self.renewed:
-            raise RowChanged(key)
+            raise VersionConflict(key)
 
-    def reset(self) -> None:
+    def close_connections(self) -> None:
         self.resets += 1
 
 
--- a/tests/http/test_pool.py
+++ b/tests/http/test_pool.py
@@ -28,10 +28,10 @@
     # limit expires.
     async def scenario(address: tuple[str, int]) -> None:
         pool = ConnectionPool(10.0)
-        pool.note_dead(address, 0.8, 0.0)
+        pool.record_dead_idle(address, 0.8, 0.0)
         assert not pool.is_idle_time_safe(address, 0.4, 1.0)
         assert pool.is_idle_time_safe(address, 0.3, 1.0)
-        pool.note_dead(address, 0.3, 1.0)
+        pool.record_dead_idle(address, 0.3, 1.0)
         assert not pool.is_idle_time_safe(address, 0.2, 2.0)
         assert pool.is_idle_time_safe(address, 0.2, 1.0 + IDLE_LIMIT_LIFETIME_S)
 
@@ -41,13 +41,13 @@
 def test_connection_idle_beyond_the_learned_limit_is_replaced() -> None:
     async def scenario(address: tuple[str, int]) -> None:
         pool = ConnectionPool(10.0)
-        connection = await pool.take(address, 0.0, False)
+        connection = await pool.acquire(address, 0.0, False)
         connection.idle_since = 1.0
-        pool.lay(connection)
-        taken = await pool.take(address, 1.5, False)
-        assert taken is connection and taken.reused and taken.rested == 0.5
-        pool.lay(connection)
-        pool.note_dead(address, 0.5, 2.0)
-        assert await pool.take(address, 2.0, False) is not connection
+        pool.add_idle(connection)
+        taken = await pool.acquire(address, 1.5, False)
+        assert taken is connection and taken.reused and taken.idle_time_s == 0.5
+        pool.add_idle(connection)
+        pool.record_dead_idle(address, 0.5, 2.0)
+        assert await pool.acquire(address, 2.0, False) is not connection
 
     run_with_server(scenario)
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -11,8 +11,8 @@
 from rhubarbbend.core import messages
 from rhubarbbend.core.messages import Heartbeat, Message, ReservedRun, SlotRequest, TargetLoad
 from rhubarbbend.peers import (
+    FrameAuthenticator,
     FrameError,
-    FrameSeal,
     PeerListener,
     decode_frame,
     encode_frame,
@@ -20,7 +20,7 @@
 from rhubarbbend.peers._links import make_hello
 
 SECRET = b"a secret of the tests"
-SEAL = FrameSeal(SECRET)
+AUTHENTICATOR = FrameAuthenticator(SECRET)
 MESSAGE_CLASSES = [
     message_class
     for message_class in vars(messages).values()
@@ -29,7 +29,7 @@
     and getattr(message_class, "FIELD", "")
 ]
 FRAMES = [
-    SEAL.close(encode_frame("a1", message))
+    AUTHENTICATOR.sign(encode_frame("a1", message))
     for message in (
         SlotRequest(attempt="x", instance="a1", target="t", account="acc"),
         ReservedRun(request="x", key="k", body=b"body", time_left=3.0, arrived=1e9),
@@ -43,15 +43,15 @@
     "message_class", MESSAGE_CLASSES, ids=lambda message_class: message_class.__name__
 )
 def test_every_message_survives_a_round_trip(message_class: type[Message]) -> None:
-    frame = SEAL.close(encode_frame("a1", message_class()))
-    assert decode_frame(SEAL.open(frame[4:])) == ("a1", message_class())
+    frame = AUTHENTICATOR.sign(encode_frame("a1", message_class()))
+    assert decode_frame(AUTHENTICATOR.verify(frame[4:])) == ("a1", message_class())
 
 
 @BOUNDED
 @given(st.binary(max_size=300))
 def test_garbage_is_not_decoded(data: bytes) -> None:
     with pytest.raises(FrameError):
-        SEAL.open(data)
+        AUTHENTICATOR.verify(data)
 
 
 @BOUNDED
@@ -62,15 +62,15 @@
     data = bytearray(frame[4:])
     data[at % len(data)] ^= change
     with pytest.raises(FrameError):
-        SEAL.open(bytes(data))
+        AUTHENTICATOR.verify(bytes(data))
     if cut:
         with pytest.raises(FrameError):
-            SEAL.open(frame[4:-cut])
+            AUTHENTICATOR.verify(frame[4:-cut])
 
 
 def test_frames_of_another_fleet_are_not_decoded() -> None:
     with pytest.raises(FrameError):
-        FrameSeal(b"another secret").open(FRAMES[0][4:])
+        FrameAuthenticator(b"another secret").verify(FRAMES[0][4:])
 
 
 @pytest.mark.parametrize(
--- a/tests/shell/test_attempts.py
+++ b/tests/shell/test_attempts.py
@@ -9,7 +9,7 @@
 from rhubarbbend.core import actions, events
 from rhubarbbend.http import ConnectionPool, Exchange, HttpServer
 from rhubarbbend.shell._attempts import MAX_COMMAND_RESPONSE_BYTES, AttemptRunner
-from rhubarbbend.shell._callers import OpenRequest
+from rhubarbbend.shell._open_request import OpenRequest
 
 HOST = "127.0.0.1"
 TIMEOUT = 20.0
