--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 
 from adapter import PlatformRowStore
-from adapter._store import RowsResponse, WireRow
+from adapter._row_store import RowsResponse, WireRow
 from rhubarbbend.storage import StoreError, VersionConflict
 from standins._tables import Tables
 
