--- a/tests/core/accepted/test_validation.py
+++ b/tests/core/accepted/test_validation.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rhubarbbend.core import actions, events
-from tests.core.drive import make_row, make_zone, pick, scan, start_core
+from tests.core.core_helpers import answer_scan, filter_actions, make_row, make_zone, start_core
 
 DIGEST = "a" * 64
 
@@ -37,16 +37,16 @@
     service = ("service", "s", b'{"name": "s"}')
     model = ("model", "m", b'{"name": "m", "service": "s"}')
     account = ("account", "x", msgspec.json.encode({"name": "x", "key_digest": DIGEST}))
-    scan(core, 3.5, make_row(1, service, model, account))
+    answer_scan(core, 3.5, make_row(1, service, model, account))
     emitted = core.handle(events.ChangeProposed("o1", "c1", "ana", 1, items), 4.0)
-    assert pick(emitted, actions.WriteRows) == []
-    assert problem in pick(emitted, actions.AnswerOperator)[0].error
+    assert filter_actions(emitted, actions.WriteRows) == []
+    assert problem in filter_actions(emitted, actions.AnswerOperator)[0].error
 
 
 def test_one_change_may_move_a_bearer_key_to_another_account() -> None:
     core = start_core("e1")
     value = msgspec.json.encode({"name": "x", "key_digest": DIGEST})
-    scan(core, 3.5, make_row(1, ("account", "x", value)))
+    answer_scan(core, 3.5, make_row(1, ("account", "x", value)))
     moved = ("account", "y", msgspec.json.encode({"name": "y", "key_digest": DIGEST}))
     event = events.ChangeProposed("o1", "c1", "ana", 1, [("account", "x", b""), moved])
-    assert len(pick(core.handle(event, 4.0), actions.WriteRows)) == 1
+    assert len(filter_actions(core.handle(event, 4.0), actions.WriteRows)) == 1
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -1,6 +1,6 @@
 """Tests of claims: at most one run under an idempotency key, and "not run" only if it is true.
 
-The tests order table writes, messages and runs by hand through `World`. Its instances are named
+The tests order table writes, messages and runs by hand through `FakeFleet`. Its instances are named
 after their zones: `a1` is in zone `a`, `b1` in zone `b`.
 """
 
@@ -8,7 +8,7 @@
 
 from rhubarbbend.core import events
 from rhubarbbend.core.claims._claim_rows import make_table_key
-from tests.core.fakes import World
+from tests.core.fakes import FakeFleet
 
 ONE_INSTANCE = {"a1": "a"}
 TWO_INSTANCES = {"a1": "a", "b1": "b"}
@@ -20,16 +20,16 @@
     The same insert is sent again and finds its own row. Only then is the command dispatched, and
     the caller gets its answer a little later.
     """
-    world = World(ONE_INSTANCE)
-    world.send("a1", "r1", "k1")
-    first = world.writes[0]
-    world.apply(first)
-    world.lose(first)
-    assert not world.runs
-    world.answer(world.writes[0])
-    assert len(world.runs) == 1
-    world.finish(world.runs[0])
-    assert world.read_answer("r1").body == b"done"
+    fleet = FakeFleet(ONE_INSTANCE)
+    fleet.send("a1", "r1", "k1")
+    first = fleet.writes[0]
+    fleet.apply_write(first)
+    fleet.lose_answer(first)
+    assert not fleet.runs
+    fleet.answer_write(fleet.writes[0])
+    assert len(fleet.runs) == 1
+    fleet.finish(fleet.runs[0])
+    assert fleet.read_answer("r1").body == b"done"
 
 
 def test_request_waiting_on_an_unconfirmed_claim_is_not_told_not_run() -> None:
@@ -38,19 +38,19 @@
     The command runs at b1. Meanwhile a1 gets two requests under its key and cannot reach the table.
     Both are told "may have run": that a1 never ran the command proves nothing about b1.
     """
-    world = World(TWO_INSTANCES)
-    world.send("b1", "r0", "k1")
-    world.answer(world.writes[0])
-    world.send("a1", "r1", "k1")
-    world.send("a1", "r2", "k1")
+    fleet = FakeFleet(TWO_INSTANCES)
+    fleet.send("b1", "r0", "k1")
+    fleet.answer_write(fleet.writes[0])
+    fleet.send("a1", "r1", "k1")
+    fleet.send("a1", "r2", "k1")
     for _ in range(4):
-        a1_writes = [write for write in world.writes if write.instance == "a1"]
+        a1_writes = [write for write in fleet.writes if write.instance == "a1"]
         if not a1_writes:
             break
-        world.advance(0.6)
-        world.lose(a1_writes[0])
-    assert world.read_answer("r1").verdict == "may_have_run"
-    assert world.read_answer("r2").verdict == "may_have_run"
+        fleet.advance(0.6)
+        fleet.lose_answer(a1_writes[0])
+    assert fleet.read_answer("r1").verdict == "may_have_run"
+    assert fleet.read_answer("r2").verdict == "may_have_run"
 
 
 def test_refusal_written_before_a_long_pause_is_not_final() -> None:
@@ -60,21 +60,21 @@
     When the refusal no longer blocks the key, a second request claims it at b1 and runs. After its
     pause a1 must not report "not run".
     """
-    world = World(TWO_INSTANCES)
-    _mark_targets_down(world, "a1")
-    world.send("a1", "r1", "k1", deadline=60.0)
-    world.apply(world.writes[0])
-    world.freeze("a1")
-    world.answer(world.writes[0])
-    world.advance(5.0)
-    world.send("b1", "r2", "k1")
+    fleet = FakeFleet(TWO_INSTANCES)
+    _mark_targets_down(fleet, "a1")
+    fleet.send("a1", "r1", "k1", deadline=60.0)
+    fleet.apply_write(fleet.writes[0])
+    fleet.freeze("a1")
+    fleet.answer_write(fleet.writes[0])
+    fleet.advance(5.0)
+    fleet.send("b1", "r2", "k1")
     # b1 may have requested a slot from a1 and wait for a reply that never comes.
     for _ in range(2):
-        world.advance(12.0)
-        world.answer(world.writes[0])
-    assert len(world.runs) == 1
-    world.thaw("a1")
-    assert world.read_answer("r1").verdict == "may_have_run"
+        fleet.advance(12.0)
+        fleet.answer_write(fleet.writes[0])
+    assert len(fleet.runs) == 1
+    fleet.unfreeze("a1")
+    assert fleet.read_answer("r1").verdict == "may_have_run"
 
 
 def test_refusal_that_finds_an_old_refusal_is_written_again() -> None:
@@ -83,22 +83,22 @@
     The key was refused long ago. r2, at an instance with a slot, is about to claim it, and r3 is
     refused for lack of a slot. If r3 is told "not run", r2 must not run afterwards.
     """
-    world = World(TWO_INSTANCES)
-    _mark_targets_down(world, "a1")
-    world.send("a1", "r1", "k1")
-    world.settle()
-    assert world.read_answer("r1").verdict == "not_run"
-    world.advance(10.0)
-    world.send("b1", "r2", "k1")
-    world.answer(world.writes[0])
-    claim_write = world.writes[0]
-    world.send("a1", "r3", "k1")
-    a1_writes = [write for write in world.writes if write.instance == "a1"]
-    world.answer(a1_writes[0])
-    world.answer(claim_write)
-    world.settle()
-    verdicts = [answer.verdict for answer in world.answers["r3"]]
-    assert not (world.runs and "not_run" in verdicts)
+    fleet = FakeFleet(TWO_INSTANCES)
+    _mark_targets_down(fleet, "a1")
+    fleet.send("a1", "r1", "k1")
+    fleet.settle()
+    assert fleet.read_answer("r1").verdict == "not_run"
+    fleet.advance(10.0)
+    fleet.send("b1", "r2", "k1")
+    fleet.answer_write(fleet.writes[0])
+    claim_write = fleet.writes[0]
+    fleet.send("a1", "r3", "k1")
+    a1_writes = [write for write in fleet.writes if write.instance == "a1"]
+    fleet.answer_write(a1_writes[0])
+    fleet.answer_write(claim_write)
+    fleet.settle()
+    verdicts = [answer.verdict for answer in fleet.answers["r3"]]
+    assert not (fleet.runs and "not_run" in verdicts)
 
 
 def test_command_keeps_running_after_its_callers_deadline() -> None:
@@ -107,16 +107,16 @@
     The caller is told that its command may have run. The target answers later, and a second
     request under the key gets that answer.
     """
-    world = World(ONE_INSTANCE)
-    world.send("a1", "r1", "k1", deadline=2.0)
-    world.settle()
-    world.advance(3.0)
-    assert world.read_answer("r1").verdict == "may_have_run"
-    assert world.cores["a1"].requests.count_open_requests() == 1
-    world.finish(world.runs[0])
-    world.send("a1", "r2", "k1")
-    assert world.read_answer("r2").body == b"done"
-    assert world.cores["a1"].requests.count_open_requests() == 0
+    fleet = FakeFleet(ONE_INSTANCE)
+    fleet.send("a1", "r1", "k1", deadline=2.0)
+    fleet.settle()
+    fleet.advance(3.0)
+    assert fleet.read_answer("r1").verdict == "may_have_run"
+    assert fleet.cores["a1"].requests.count_open_requests() == 1
+    fleet.finish(fleet.runs[0])
+    fleet.send("a1", "r2", "k1")
+    assert fleet.read_answer("r2").body == b"done"
+    assert fleet.cores["a1"].requests.count_open_requests() == 0
 
 
 def test_command_keeps_running_after_its_caller_disconnects() -> None:
@@ -124,14 +124,14 @@
 
     The retry has the same request id and key, and gets the answer of the one run.
     """
-    world = World(ONE_INSTANCE)
-    world.send("a1", "r1", "k1")
-    world.settle()
-    world.feed("a1", events.CallerLeft("r1"))
-    world.send("a1", "r1", "k1")
-    world.finish(world.runs[0])
-    assert world.read_answer("r1").body == b"done"
-    assert not world.runs
+    fleet = FakeFleet(ONE_INSTANCE)
+    fleet.send("a1", "r1", "k1")
+    fleet.settle()
+    fleet.handle("a1", events.CallerLeft("r1"))
+    fleet.send("a1", "r1", "k1")
+    fleet.finish(fleet.runs[0])
+    assert fleet.read_answer("r1").body == b"done"
+    assert not fleet.runs
 
 
 def test_abandoned_claim_lets_a_later_request_run_at_another_instance() -> None:
@@ -141,19 +141,19 @@
     caller retries at b1, which finds a1's claim and queries a1. a1 replies that it will never
     dispatch the attempt, so b1 runs the command.
     """
-    world = World(TWO_INSTANCES)
-    world.send("a1", "r1", "k1")
-    world.apply(world.writes[0])
-    while world.writes:
-        world.advance(0.6)
-        world.lose(world.writes[0])
-    assert world.read_answer("r1").verdict == "may_have_run"
-    world.advance(1.0)
-    world.send("b1", "r2", "k1")
-    world.settle()
-    assert [run.instance for run in world.runs] == ["b1"]
-    world.finish(world.runs[0])
-    assert world.read_answer("r2").body == b"done"
+    fleet = FakeFleet(TWO_INSTANCES)
+    fleet.send("a1", "r1", "k1")
+    fleet.apply_write(fleet.writes[0])
+    while fleet.writes:
+        fleet.advance(0.6)
+        fleet.lose_answer(fleet.writes[0])
+    assert fleet.read_answer("r1").verdict == "may_have_run"
+    fleet.advance(1.0)
+    fleet.send("b1", "r2", "k1")
+    fleet.settle()
+    assert [run.instance for run in fleet.runs] == ["b1"]
+    fleet.finish(fleet.runs[0])
+    assert fleet.read_answer("r2").body == b"done"
 
 
 def test_another_body_under_the_key_is_a_conflict() -> None:
@@ -162,16 +162,16 @@
     The second request is refused for the reuse. It is not told "not run", because the request with
     the first body may be about to run.
     """
-    world = World(TWO_INSTANCES)
-    world.send("a1", "r1", "k1", body="one")
-    world.send("a1", "r2", "k1", body="two")
-    assert world.read_answer("r2").code == "idempotency_key_reused"
-    assert world.read_answer("r2").verdict == "may_have_run"
-    world.settle()
-    world.send("b1", "r3", "k1", body="two")
-    world.settle()
-    assert world.read_answer("r3").code == "idempotency_key_reused"
-    assert len(world.runs) == 1
+    fleet = FakeFleet(TWO_INSTANCES)
+    fleet.send("a1", "r1", "k1", body="one")
+    fleet.send("a1", "r2", "k1", body="two")
+    assert fleet.read_answer("r2").code == "idempotency_key_reused"
+    assert fleet.read_answer("r2").verdict == "may_have_run"
+    fleet.settle()
+    fleet.send("b1", "r3", "k1", body="two")
+    fleet.settle()
+    assert fleet.read_answer("r3").code == "idempotency_key_reused"
+    assert len(fleet.runs) == 1
 
 
 def test_keys_of_two_accounts_never_collide() -> None:
@@ -179,11 +179,11 @@
 
     They send the same key. And one account's name and key, joined, read like the other's.
     """
-    world = World(ONE_INSTANCE)
-    world.send("a1", "r1", "k1", account="agents")
-    world.send("a1", "r2", "k1")
-    world.settle()
-    assert len(world.runs) == 2
+    fleet = FakeFleet(ONE_INSTANCE)
+    fleet.send("a1", "r1", "k1", account="agents")
+    fleet.send("a1", "r2", "k1")
+    fleet.settle()
+    assert len(fleet.runs) == 2
     assert make_table_key("a", "b/c") != make_table_key("a/b", "c")
 
 
@@ -193,18 +193,18 @@
     a1 is replaced after it has claimed a command and issued a reserved key. Its successor of the
     same name has no record of either: both are told "may have run" and neither is run.
     """
-    world = World(ONE_INSTANCE)
-    key = world.reserve("a1")
-    world.send("a1", "r1", "k1")
-    world.answer(world.writes[0])
-    assert len(world.runs) == 1
-    world.start("a1", 2)
-    world.advance(2.0)
+    fleet = FakeFleet(ONE_INSTANCE)
+    key = fleet.reserve("a1")
+    fleet.send("a1", "r1", "k1")
+    fleet.answer_write(fleet.writes[0])
+    assert len(fleet.runs) == 1
+    fleet.start("a1", 2)
+    fleet.advance(2.0)
     for request, reused_key in (("r2", "k1"), ("r3", key)):
-        world.send("a1", request, reused_key)
-        world.settle()
-        assert world.read_answer(request).verdict == "may_have_run"
-    assert not world.runs
+        fleet.send("a1", request, reused_key)
+        fleet.settle()
+        assert fleet.read_answer(request).verdict == "may_have_run"
+    assert not fleet.runs
 
 
 def test_reserved_key_refusal_blocks_requests_that_arrive_while_it_is_in_flight() -> None:
@@ -213,17 +213,17 @@
     The issuer's refusal is in flight to a caller at another instance. A request under the key that
     reaches the issuer meanwhile does not run.
     """
-    world = World(TWO_INSTANCES, hold_messages=True)
-    key = world.reserve("a1")
-    _mark_targets_down(world, "a1")
-    world.send("b1", "r1", key)
-    world.deliver(world.messages[0])
-    world.advance(0.5)
-    _mark_targets_up(world, "a1")
-    world.send("a1", "r2", key)
-    world.deliver(world.messages[0])
-    assert world.read_answer("r1").verdict == "not_run"
-    assert not world.runs
+    fleet = FakeFleet(TWO_INSTANCES, hold_messages=True)
+    key = fleet.reserve("a1")
+    _mark_targets_down(fleet, "a1")
+    fleet.send("b1", "r1", key)
+    fleet.deliver(fleet.messages[0])
+    fleet.advance(0.5)
+    _mark_targets_up(fleet, "a1")
+    fleet.send("a1", "r2", key)
+    fleet.deliver(fleet.messages[0])
+    assert fleet.read_answer("r1").verdict == "not_run"
+    assert not fleet.runs
 
 
 def test_request_from_before_a_refusal_does_not_run_after_it() -> None:
@@ -232,19 +232,19 @@
     r2 is still waiting at b1 when r1 is refused at a1 with "not run". r2 arrived before that, so it
     must not claim the key afterwards.
     """
-    world = World(TWO_INSTANCES)
-    world.feed("b1", events.TimerDue())
-    world.send("b1", "r2", "k1")
-    delayed_write = world.writes.pop(0)
-    _mark_targets_down(world, "a1")
-    world.send("a1", "r1", "k1")
-    world.answer(world.writes[0])
-    assert world.read_answer("r1").verdict == "not_run"
-    world.advance(0.2)
-    world.writes.append(delayed_write)
-    world.settle()
-    assert not world.runs
-    assert world.read_answer("r2").verdict == "not_run"
+    fleet = FakeFleet(TWO_INSTANCES)
+    fleet.handle("b1", events.TimerDue())
+    fleet.send("b1", "r2", "k1")
+    delayed_write = fleet.writes.pop(0)
+    _mark_targets_down(fleet, "a1")
+    fleet.send("a1", "r1", "k1")
+    fleet.answer_write(fleet.writes[0])
+    assert fleet.read_answer("r1").verdict == "not_run"
+    fleet.advance(0.2)
+    fleet.writes.append(delayed_write)
+    fleet.settle()
+    assert not fleet.runs
+    assert fleet.read_answer("r2").verdict == "not_run"
 
 
 def test_request_from_before_a_claim_was_abandoned_is_told_may_have_run() -> None:
@@ -253,16 +253,16 @@
     a1 abandoned its claim when its caller left. r2 arrived before that and gets a1's reply late. A
     later request may claim the key at any moment, so r2 is not told "not run".
     """
-    world = World(TWO_INSTANCES, hold_messages=True)
-    world.send("a1", "r1", "k1")
-    world.apply(world.writes[0])
-    world.send("b1", "r2", "k1")
-    world.answer(next(write for write in world.writes if write.instance == "b1"))
-    world.feed("a1", events.CallerLeft("r1"))
-    world.advance(0.1)
-    while world.messages:
-        world.deliver(world.messages[0])
-    assert world.read_answer("r2").verdict == "may_have_run"
+    fleet = FakeFleet(TWO_INSTANCES, hold_messages=True)
+    fleet.send("a1", "r1", "k1")
+    fleet.apply_write(fleet.writes[0])
+    fleet.send("b1", "r2", "k1")
+    fleet.answer_write(next(write for write in fleet.writes if write.instance == "b1"))
+    fleet.handle("a1", events.CallerLeft("r1"))
+    fleet.advance(0.1)
+    while fleet.messages:
+        fleet.deliver(fleet.messages[0])
+    assert fleet.read_answer("r2").verdict == "may_have_run"
 
 
 def test_late_reply_to_a_forwarded_command_does_not_answer_another() -> None:
@@ -271,20 +271,20 @@
     A caller abandons a command under a reserved key that its instance has forwarded, and sends
     another under the same request id. The late reply to the first must not answer the second.
     """
-    world = World(TWO_INSTANCES, hold_messages=True)
-    first, second = world.reserve("b1"), world.reserve("b1")
-    world.send("a1", "r1", first)
-    world.deliver(world.messages[0])
-    world.feed("a1", events.CallerLeft("r1"))
-    world.send("a1", "r1", second)
-    world.finish(world.runs[0], b"first")
-    late_reply = next(m for m in world.messages if m.peer == "a1")
-    world.deliver(late_reply)
-    assert not world.answers["r1"]
-    world.deliver(world.messages[0])
-    world.finish(world.runs[0], b"second")
-    world.deliver(world.messages[0])
-    assert world.read_answer("r1").body == b"second"
+    fleet = FakeFleet(TWO_INSTANCES, hold_messages=True)
+    first, second = fleet.reserve("b1"), fleet.reserve("b1")
+    fleet.send("a1", "r1", first)
+    fleet.deliver(fleet.messages[0])
+    fleet.handle("a1", events.CallerLeft("r1"))
+    fleet.send("a1", "r1", second)
+    fleet.finish(fleet.runs[0], b"first")
+    late_reply = next(m for m in fleet.messages if m.peer == "a1")
+    fleet.deliver(late_reply)
+    assert not fleet.answers["r1"]
+    fleet.deliver(fleet.messages[0])
+    fleet.finish(fleet.runs[0], b"second")
+    fleet.deliver(fleet.messages[0])
+    assert fleet.read_answer("r1").body == b"second"
 
 
 def test_reserved_key_refusal_blocks_requests_forwarded_before_it() -> None:
@@ -293,19 +293,19 @@
     The issuer refuses the key for lack of a slot. A command under it that another instance
     forwarded before the refusal arrives after it, and must not run.
     """
-    world = World(TWO_INSTANCES, hold_messages=True)
-    key = world.reserve("a1")
-    world.send("b1", "r1", key)
-    _mark_targets_down(world, "a1")
-    world.advance(0.3)
-    world.send("a1", "r2", key)
-    assert world.read_answer("r2").verdict == "not_run"
-    _mark_targets_up(world, "a1")
-    world.advance(3.0)
-    world.deliver(world.messages[0])
-    assert not world.runs
-    world.send("a1", "r3", key)
-    assert len(world.runs) == 1
+    fleet = FakeFleet(TWO_INSTANCES, hold_messages=True)
+    key = fleet.reserve("a1")
+    fleet.send("b1", "r1", key)
+    _mark_targets_down(fleet, "a1")
+    fleet.advance(0.3)
+    fleet.send("a1", "r2", key)
+    assert fleet.read_answer("r2").verdict == "not_run"
+    _mark_targets_up(fleet, "a1")
+    fleet.advance(3.0)
+    fleet.deliver(fleet.messages[0])
+    assert not fleet.runs
+    fleet.send("a1", "r3", key)
+    assert len(fleet.runs) == 1
 
 
 def test_late_refusal_of_a_reserved_key_is_not_relayed() -> None:
@@ -314,18 +314,18 @@
     The issuer's refusal is delayed, and a later request runs under the key meanwhile. The caller
     that waits for the refusal is told that the key may have run.
     """
-    world = World(TWO_INSTANCES, hold_messages=True)
-    key = world.reserve("a1")
-    _mark_targets_down(world, "a1")
-    world.send("b1", "r1", key)
-    world.deliver(world.messages[0])
-    late_refusal = world.messages[0]
-    world.advance(5.0)
-    _mark_targets_up(world, "a1")
-    world.send("a1", "r2", key)
-    assert len(world.runs) == 1
-    world.deliver(late_refusal)
-    assert world.read_answer("r1").verdict == "may_have_run"
+    fleet = FakeFleet(TWO_INSTANCES, hold_messages=True)
+    key = fleet.reserve("a1")
+    _mark_targets_down(fleet, "a1")
+    fleet.send("b1", "r1", key)
+    fleet.deliver(fleet.messages[0])
+    late_refusal = fleet.messages[0]
+    fleet.advance(5.0)
+    _mark_targets_up(fleet, "a1")
+    fleet.send("a1", "r2", key)
+    assert len(fleet.runs) == 1
+    fleet.deliver(late_refusal)
+    assert fleet.read_answer("r1").verdict == "may_have_run"
 
 
 def test_large_outcome_is_not_kept_in_memory() -> None:
@@ -334,25 +334,25 @@
     The caller gets the whole answer. A second request under the key is told that the command ran
     and that its answer was not kept, and no copy of the body is written.
     """
-    world = World(ONE_INSTANCE)
-    world.send("a1", "r1", "k1")
-    world.settle()
-    run = world.runs.pop()
+    fleet = FakeFleet(ONE_INSTANCE)
+    fleet.send("a1", "r1", "k1")
+    fleet.settle()
+    run = fleet.runs.pop()
     large = b"x" * 100_000
-    world.feed("a1", events.AttemptDone(run.action.attempt, 200, 0.1, body=large, kept=False))
-    assert world.read_answer("r1").body == large
-    world.send("a1", "r2", "k1")
-    assert world.read_answer("r2").code == "outcome_not_kept"
-    assert all(len(entry.value) < 1_000 for write in world.writes for entry in write.action.writes)
+    fleet.handle("a1", events.AttemptDone(run.action.attempt, 200, 0.1, body=large, kept=False))
+    assert fleet.read_answer("r1").body == large
+    fleet.send("a1", "r2", "k1")
+    assert fleet.read_answer("r2").code == "outcome_not_kept"
+    assert all(len(entry.value) < 1_000 for write in fleet.writes for entry in write.action.writes)
 
 
-def _mark_targets_up(world: World, name: str) -> None:
+def _mark_targets_up(fleet: FakeFleet, name: str) -> None:
     """Mark every target as up in the view of one instance."""
-    for view in world.cores[name].context.fleet.targets.values():
+    for view in fleet.cores[name].context.fleet.targets.values():
         view.down_until = 0.0
 
 
-def _mark_targets_down(world: World, name: str) -> None:
+def _mark_targets_down(fleet: FakeFleet, name: str) -> None:
     """Mark every target as down in the view of one instance."""
-    for view in world.cores[name].context.fleet.targets.values():
-        view.down_until = world.now + 1_000.0
+    for view in fleet.cores[name].context.fleet.targets.values():
+        view.down_until = fleet.now + 1_000.0
--- a/tests/core/claims/test_claims_model.py
+++ b/tests/core/claims/test_claims_model.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.core.fakes import PendingRun, World
+from tests.core.fakes import FakeFleet, PendingRun
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 SKEWS = (0.0, 0.2, -0.2)
@@ -23,9 +23,9 @@
     """One sequence of events, and what the targets ran in its course."""
 
     def __init__(self) -> None:
-        self.world = World(ZONES, skews=SKEWS, hold_messages=True)
+        self.fleet = FakeFleet(ZONES, skews=SKEWS, hold_messages=True)
         self.names = list(ZONES)
-        self.keys = ["k1", "k2", self.world.reserve("a1"), self.world.reserve("b1")]
+        self.keys = ["k1", "k2", self.fleet.reserve("a1"), self.fleet.reserve("b1")]
         self.runs: Counter[str] = Counter()
         self.run_steps_by_key: dict[str, list[int]] = {}
         self.incarnation = 1
@@ -57,11 +57,11 @@
     def check_guarantees(self) -> None:
         """Check every run and every answer so far."""
         assert all(count == 1 for count in self.runs.values()), self.runs
-        for request, answers in self.world.answers.items():
-            if request not in self.world.arrived:
+        for request, answers in self.fleet.answers.items():
+            if request not in self.fleet.arrived:
                 continue
             assert len(answers) <= 1, (request, answers)
-            key = self.world.arrived[request][1]
+            key = self.fleet.arrived[request][1]
             for answer in answers:
                 if answer.verdict == "not_run":
                     earlier_runs = [
@@ -78,33 +78,33 @@
         key = self.keys[choice % len(self.keys)]
         name = self.names[choice // 4 % len(self.names)]
         deadline = (1.0, 8.0, 40.0, 90.0)[choice // 12 % 4]
-        self.world.send(name, f"r{self.sent}", key, body=key, deadline=deadline)
+        self.fleet.send(name, f"r{self.sent}", key, body=key, deadline=deadline)
 
     def _answer_write(self, choice: int) -> None:
-        if self.world.writes:
-            self.world.answer(self.world.writes[choice % len(self.world.writes)])
+        if self.fleet.writes:
+            self.fleet.answer_write(self.fleet.writes[choice % len(self.fleet.writes)])
 
     def _apply_write(self, choice: int) -> None:
-        if self.world.writes:
-            self.world.apply(self.world.writes[choice % len(self.world.writes)])
+        if self.fleet.writes:
+            self.fleet.apply_write(self.fleet.writes[choice % len(self.fleet.writes)])
 
     def _lose_write_answer(self, choice: int) -> None:
-        if self.world.writes:
-            self.world.lose(self.world.writes[choice % len(self.world.writes)])
+        if self.fleet.writes:
+            self.fleet.lose_answer(self.fleet.writes[choice % len(self.fleet.writes)])
 
     def _deliver_message(self, choice: int) -> None:
-        if self.world.messages:
-            self.world.deliver(self.world.messages[choice % len(self.world.messages)])
+        if self.fleet.messages:
+            self.fleet.deliver(self.fleet.messages[choice % len(self.fleet.messages)])
 
     def _drop_message(self, choice: int) -> None:
-        if self.world.messages:
-            self.world.messages.pop(choice % len(self.world.messages))
+        if self.fleet.messages:
+            self.fleet.messages.pop(choice % len(self.fleet.messages))
 
     def _finish_run(self, choice: int) -> None:
         run = self._pick_run(choice)
         if run is not None:
             key = self._record_run(run)
-            self.world.finish(run, key.encode())
+            self.fleet.finish(run, key.encode())
 
     def _fail_run(self, choice: int) -> None:
         """Fail an attempt: before a byte was sent, or afterwards, with or without a run."""
@@ -114,33 +114,33 @@
         stage = ("connect", "sent", "sent")[choice // 8 % 3]
         if choice // 8 % 3 == 2:
             self._record_run(run)
-        self.world.fail(run, stage)
+        self.fleet.fail(run, stage)
 
     def _advance_time(self, choice: int) -> None:
-        self.world.advance((0.3, 1.0, 2.5, 12.0)[choice % 4])
+        self.fleet.advance((0.3, 1.0, 2.5, 12.0)[choice % 4])
 
     def _disrupt_instance(self, choice: int) -> None:
         """Freeze, thaw or replace an instance, or mark the targets as down in its view."""
         name = self.names[choice % 3]
         fault_kind = choice // 3 % 4
-        if name in self.world.frozen:
-            self.world.thaw(name)
+        if name in self.fleet.frozen:
+            self.fleet.unfreeze(name)
         elif fault_kind < 2:
-            self.world.freeze(name)
+            self.fleet.freeze(name)
         elif fault_kind == 2:
-            for view in self.world.cores[name].context.fleet.targets.values():
-                view.down_until = self.world.now + 4.0
+            for view in self.fleet.cores[name].context.fleet.targets.values():
+                view.down_until = self.fleet.now + 4.0
         else:
             self.incarnation += 1
-            self.world.start(name, self.incarnation)
+            self.fleet.start(name, self.incarnation)
 
     def _pick_run(self, choice: int) -> PendingRun | None:
-        runs = [run for run in self.world.runs if run.instance not in self.world.frozen]
+        runs = [run for run in self.fleet.runs if run.instance not in self.fleet.frozen]
         return runs[choice % len(runs)] if runs else None
 
     def _record_run(self, run: PendingRun) -> str:
         request = run.action.request
-        step, key = self.world.arrived[self.world.forwarded.get(request, request)]
+        step, key = self.fleet.arrived[self.fleet.forwarded.get(request, request)]
         self.runs[key] += 1
         self.run_steps_by_key.setdefault(key, []).append(step)
         return key
--- a/tests/core/claims/test_ownership_change.py
+++ b/tests/core/claims/test_ownership_change.py
@@ -5,8 +5,22 @@
 from rhubarbbend.core import Core, actions, events
 from rhubarbbend.core._fleet import compute_rendezvous_weight
 from rhubarbbend.core.messages import Heartbeat, SlotReply, SlotRequest, TargetLoad
-from tests.core.drive import introduce, make_row, pick, run_timers, scan, start_core
-from tests.core.test_service import ACCOUNT, BOOKING, ask, make_list, read_refusals, start_owner
+from tests.core.core_helpers import (
+    add_seed,
+    answer_scan,
+    filter_actions,
+    make_row,
+    run_timers,
+    start_core,
+)
+from tests.core.test_service import (
+    ACCOUNT,
+    BOOKING_SERVICE,
+    list_slot_replies,
+    make_target_list,
+    request_slot,
+    start_owner,
+)
 
 OTHER_INSTANCE = next(
     f"s{n}"
@@ -18,9 +32,13 @@
 def start_entry_instance() -> Core:
     """Start an instance of a zone in which another instance owns the target t1, which is ready."""
     core = start_core("e1")
-    scan(core, 3.5, make_row(1, ("service", "booking", BOOKING), ("account", "desk", ACCOUNT)))
-    introduce(core, start_core(OTHER_INSTANCE), 3.5)
-    core.handle(make_list(("t1", "a", "live")), 3.6)
+    answer_scan(
+        core,
+        3.5,
+        make_row(1, ("service", "booking", BOOKING_SERVICE), ("account", "desk", ACCOUNT)),
+    )
+    add_seed(core, start_core(OTHER_INSTANCE), 3.5)
+    core.handle(make_target_list(("t1", "a", "live")), 3.6)
     deliver_owner_heartbeat(core, 3.7)
     return core
 
@@ -35,7 +53,11 @@
 
 
 def list_slot_requests(found: list[actions.Action]) -> list[SlotRequest]:
-    return [a.message for a in pick(found, actions.SendPeer) if isinstance(a.message, SlotRequest)]
+    return [
+        a.message
+        for a in filter_actions(found, actions.SendPeer)
+        if isinstance(a.message, SlotRequest)
+    ]
 
 
 def test_request_redirected_between_two_owners_is_retried_and_not_refused() -> None:
@@ -58,13 +80,13 @@
         )
         found = core.handle(events.PeerSaid(OTHER_INSTANCE, reply), 4.0)
         assert refusal_count < 10
-    assert refusal_count >= 3 and not pick(found, actions.Refuse)
-    assert not pick(found, actions.WriteRows), "a refusal was written for the key"
+    assert refusal_count >= 3 and not filter_actions(found, actions.Refuse)
+    assert not filter_actions(found, actions.WriteRows), "a refusal was written for the key"
     retries = list_slot_requests(run_timers(core, 4.4))
     assert len(retries) == 1
     granted = SlotReply(attempt=retries[0].attempt, target="t1", boot_id="b1", limit=4)
     found = core.handle(events.PeerSaid(OTHER_INSTANCE, granted), 4.4)
-    assert len(pick(found, actions.WriteRows)) == 1
+    assert len(filter_actions(found, actions.WriteRows)) == 1
 
 
 def test_new_owner_lets_requests_wait_for_the_targets_first_report() -> None:
@@ -75,17 +97,17 @@
     after a second.
     """
     core = start_owner()
-    introduce(core, start_core("e2", zone="b"), 4.0)
-    core.handle(make_list(("t1", "a", "live")), 5.0)
-    assert read_refusals(ask(core, "x1", 5.1, max_wait=5.0)) == []
+    add_seed(core, start_core("e2", zone="b"), 4.0)
+    core.handle(make_target_list(("t1", "a", "live")), 5.0)
+    assert list_slot_replies(request_slot(core, "x1", 5.1, max_wait=5.0)) == []
     found = core.handle(events.ReportRead("t1", "b1", "ready", 0, 0), 5.2)
-    assert read_refusals(found) == [("x1", "")]
+    assert list_slot_replies(found) == [("x1", "")]
 
     silent = start_owner()
-    introduce(silent, start_core("e2", zone="b"), 4.0)
-    silent.handle(make_list(("t1", "a", "live")), 5.0)
-    assert read_refusals(ask(silent, "x1", 5.1, max_wait=5.0)) == []
-    assert read_refusals(run_timers(silent, 7.0)) == [("x1", "not_ready")]
+    add_seed(silent, start_core("e2", zone="b"), 4.0)
+    silent.handle(make_target_list(("t1", "a", "live")), 5.0)
+    assert list_slot_replies(request_slot(silent, "x1", 5.1, max_wait=5.0)) == []
+    assert list_slot_replies(run_timers(silent, 7.0)) == [("x1", "not_ready")]
 
 
 def test_target_taken_over_is_not_reported_unready_before_its_first_report() -> None:
--- a/tests/core/driver.py
+++ b/tests/core/core_driver.py
@@ -17,7 +17,7 @@
     SlotRequest,
     TargetLoad,
 )
-from tests.core.drive import make_core
+from tests.core.core_helpers import make_core
 
 ZONE = "almaty-a"
 SERVICE = "planner"
@@ -29,12 +29,12 @@
 M = TypeVar("M", bound=Message)
 
 
-def list_instance(name: str, zone: str = ZONE, state: str = "live") -> events.Listed:
+def make_instance_entry(name: str, zone: str = ZONE, state: str = "live") -> events.Listed:
     """Return the platform's list entry of an instance."""
     return events.Listed(name, "instance", zone, HOST, 1, 2, state=state)
 
 
-def list_target(name: str, zone: str = ZONE, service: str = SERVICE) -> events.Listed:
+def make_target_entry(name: str, zone: str = ZONE, service: str = SERVICE) -> events.Listed:
     """Return the platform's list entry of a target."""
     return events.Listed(name, "target", zone, HOST, 3, service_name=service)
 
@@ -81,23 +81,23 @@
 
     def read_list(self, *entries: events.Listed) -> None:
         """Pass the platform's list to the core: the given entries and those of `HOLDERS`."""
-        holders = [list_instance(name, "almaty-b") for name in HOLDERS]
+        holders = [make_instance_entry(name, "almaty-b") for name in HOLDERS]
         self.handle(events.ListRead([*entries, *holders]))
 
-    def say(self, sender: str, message: Message) -> None:
+    def receive(self, sender: str, message: Message) -> None:
         """Pass a message of a peer to the core."""
         self.handle(events.PeerSaid(sender, message))
 
-    def pass_time(self, seconds: float, step: float = 0.25) -> None:
+    def advance(self, seconds: float, step: float = 0.25) -> None:
         """Advance the time in steps and run the timers that are due."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
             for peer in self.peers:
-                self.beat(peer)
+                self.receive_heartbeat(peer)
             self.handle(events.TimerDue())
 
-    def report(
+    def receive_report(
         self,
         target: str,
         running: int,
@@ -112,11 +112,13 @@
     def pass_probation(self, *targets: str, running: int = 0) -> None:
         """Pass reports without foreign load until the owner trusts that it alone grants slots."""
         for _ in range(8):
-            self.pass_time(0.5, 0.5)
+            self.advance(0.5, 0.5)
             for target in targets:
-                self.report(target, running)
+                self.receive_report(target, running)
 
-    def beat(self, name: str, *loads: TargetLoad, incarnation: int = 1, **fields: bool) -> None:
+    def receive_heartbeat(
+        self, name: str, *loads: TargetLoad, incarnation: int = 1, **fields: bool
+    ) -> None:
         """Pass the heartbeat of a peer in the same zone to the core."""
         heartbeat = Heartbeat(
             instance=name,
@@ -127,9 +129,9 @@
             peer_port=2,
             **fields,  # type: ignore[arg-type]
         )
-        self.say(name, heartbeat)
+        self.receive(name, heartbeat)
 
-    def ask(
+    def request_slot(
         self,
         target: str,
         account: str = "agents",
@@ -153,17 +155,17 @@
             weight=weight,
             suspect=suspect,
         )
-        self.say(holder, request)
+        self.receive(holder, request)
         return attempt
 
-    def release(
+    def release_slot(
         self, target: str, attempt: str, completed: bool = True, **fields: float | bool
     ) -> None:
         """Release a slot as a peer."""
         release = SlotRelease(attempt=attempt, target=target, completed=completed, sent=True)
         for name, value in fields.items():
             setattr(release, name, value)
-        self.say(attempt.rpartition("-")[0], release)
+        self.receive(attempt.rpartition("-")[0], release)
 
     def find_replies(self, attempt: str) -> list[SlotReply]:
         """Return the replies to an attempt's slot request."""
--- a/tests/core/drive.py
+++ b/tests/core/core_helpers.py
@@ -29,7 +29,7 @@
     return core
 
 
-def introduce(core: Core, other: Core, now: float = 0.0) -> None:
+def add_seed(core: Core, other: Core, now: float = 0.0) -> None:
     """Make another core known to a core as a seed instance."""
     identity = other.context.identity
     seed = events.SeedNamed(identity.instance, identity.zone, identity.host, identity.peer_port)
@@ -53,17 +53,19 @@
     return "zone", name, value
 
 
-def scan(core: Core, now: float, *rows: events.Row, status: str = "done") -> list[actions.Action]:
+def answer_scan(
+    core: Core, now: float, *rows: events.Row, status: str = "done"
+) -> list[actions.Action]:
     """Answer the core's scan of the configuration changes and return the resulting actions."""
     return core.handle(events.RowsRead("config:scan", status, list(rows)), now)
 
 
-def pick(found: list[actions.Action], kind: type[T]) -> list[T]:
+def filter_actions(found: list[actions.Action], kind: type[T]) -> list[T]:
     """Return the actions of one type."""
     return [action for action in found if isinstance(action, kind)]
 
 
-def relay(
+def deliver_messages(
     cores: dict[str, Core], sender: str, found: list[actions.Action], now: float, limit: int = 1000
 ) -> int:
     """Deliver the messages among actions and all that they cause; return the number delivered.
@@ -71,7 +73,7 @@
     Messages to instances that are not in `cores` are dropped. More than `limit` messages fail the
     test.
     """
-    queue = [(sender, action) for action in pick(found, actions.SendPeer)]
+    queue = [(sender, action) for action in filter_actions(found, actions.SendPeer)]
     delivered = 0
     while queue:
         origin, action = queue.pop(0)
@@ -81,7 +83,7 @@
         assert delivered <= limit, "more messages were delivered than the limit allows"
         event = events.PeerSaid(origin, action.message)
         more = cores[action.peer].handle(event, now)
-        queue.extend((action.peer, a) for a in pick(more, actions.SendPeer))
+        queue.extend((action.peer, a) for a in filter_actions(more, actions.SendPeer))
     return delivered
 
 
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -80,7 +80,7 @@
     body: bytes = b""
 
 
-class World:
+class FakeFleet:
     """A fake fleet: the cores of a few instances, one target per service and zone, and a table."""
 
     def __init__(
@@ -124,14 +124,14 @@
         core = self.cores[name] = Core(identity, self.options, seed=len(self.cores))
         self.writes = [write for write in self.writes if write.instance != name]
         self.runs = [run for run in self.runs if run.instance != name]
-        self.feed(name, events.Started(START_UNIX_TIME_S + self.now + skew))
+        self.handle(name, events.Started(START_UNIX_TIME_S + self.now + skew))
         items = [
             Item(kind, value.name, 1, msgspec.json.encode(value)) for kind, value in DECLARATIONS
         ]
         core.context.configuration.apply(1, items)
         core.context.config_ready = True
 
-    def feed(self, instance: str, event: events.Event) -> None:
+    def handle(self, instance: str, event: events.Event) -> None:
         """Pass an event to an instance, or hold it back while the instance is frozen."""
         self._events.append((instance, event))
         if self._is_handling:
@@ -158,7 +158,7 @@
             self.now = max(self.now, next_time)
             for name in self.cores:
                 if name not in self.frozen:
-                    self.feed(name, events.TimerDue())
+                    self.handle(name, events.TimerDue())
             if next_time >= end:
                 return
 
@@ -167,12 +167,12 @@
         self.frozen[name] = self.now
         self._held_events[name] = []
 
-    def thaw(self, name: str) -> None:
+    def unfreeze(self, name: str) -> None:
         """Resume a paused instance and pass it the events that arrived in the meantime."""
         paused_s = self.now - self.frozen.pop(name)
-        self.feed(name, events.ProcessPaused(paused_s))
+        self.handle(name, events.ProcessPaused(paused_s))
         for event in self._held_events.pop(name):
-            self.feed(name, event)
+            self.handle(name, event)
 
     def send(
         self,
@@ -198,14 +198,14 @@
             deadline,
             key=key,
         )
-        self.feed(instance, event)
+        self.handle(instance, event)
 
     def reserve(self, instance: str) -> str:
         """Request a reserved key from an instance and return it."""
-        self.feed(instance, events.KeysRequested("keys", ACCOUNT, 1))
+        self.handle(instance, events.KeysRequested("keys", ACCOUNT, 1))
         return self.keys[-1]
 
-    def apply(self, write: PendingWrite) -> None:
+    def apply_write(self, write: PendingWrite) -> None:
         """Apply a transaction to the table without answering it."""
         if write.applied is not None:
             return
@@ -219,24 +219,24 @@
             write.applied.append(matches)
             write.rows.append(row)
 
-    def answer(self, write: PendingWrite) -> None:
+    def answer_write(self, write: PendingWrite) -> None:
         """Apply a transaction to the table and answer it."""
-        self.apply(write)
+        self.apply_write(write)
         self.writes.remove(write)
         assert write.applied is not None
         done = events.WriteDone(write.action.op, "done", write.applied, list(write.rows))
-        self.feed(write.instance, done)
+        self.handle(write.instance, done)
 
-    def lose(self, write: PendingWrite) -> None:
+    def lose_answer(self, write: PendingWrite) -> None:
         """End a transaction with an unknown outcome; it stays applied if it was."""
         self.writes.remove(write)
-        self.feed(write.instance, events.WriteDone(write.action.op, "unknown"))
+        self.handle(write.instance, events.WriteDone(write.action.op, "unknown"))
 
     def settle(self) -> None:
         """Answer all transactions and deliver all messages until none is pending."""
         while self.writes or self.messages:
             for write in list(self.writes):
-                self.answer(write)
+                self.answer_write(write)
             for message in list(self.messages):
                 self.deliver(message)
 
@@ -244,17 +244,17 @@
         """Deliver a message."""
         self.messages.remove(pending)
         if pending.peer in self.cores:
-            self.feed(pending.peer, events.PeerSaid(pending.sender, pending.message))
+            self.handle(pending.peer, events.PeerSaid(pending.sender, pending.message))
 
     def finish(self, run: PendingRun, body: bytes = b"done") -> None:
         """Complete a run with an answer from its target."""
         self.runs.remove(run)
-        self.feed(run.instance, events.AttemptDone(run.action.attempt, 200, 0.1, body=body))
+        self.handle(run.instance, events.AttemptDone(run.action.attempt, 200, 0.1, body=body))
 
     def fail(self, run: PendingRun, stage: str) -> None:
         """Fail the attempt of a run at a stage; a probe that follows is added to `probes`."""
         self.runs.remove(run)
-        self.feed(run.instance, events.AttemptFailed(run.action.attempt, stage, "fault"))
+        self.handle(run.instance, events.AttemptFailed(run.action.attempt, stage, "fault"))
 
     def read_answer(self, request: str) -> FinalAnswer:
         """Return the final answer to a request; fail unless there is exactly one."""
--- a/tests/core/members/test_poll_scheduler.py
+++ b/tests/core/members/test_poll_scheduler.py
@@ -6,7 +6,7 @@
 
 from rhubarbbend.core import Core, actions, events
 from rhubarbbend.core.messages import Heartbeat
-from tests.core.drive import start_core
+from tests.core.core_helpers import start_core
 
 DURATION_S = 60
 STEP_S = 0.05
--- a/tests/core/owners/test_owner.py
+++ b/tests/core/owners/test_owner.py
@@ -19,7 +19,14 @@
     REFUSAL_QUEUE_FULL,
     REFUSAL_WAIT_TOO_LONG,
 )
-from tests.core.driver import HOLDERS, SERVICE, ZONE, Driver, list_instance, list_target
+from tests.core.core_driver import (
+    HOLDERS,
+    SERVICE,
+    ZONE,
+    Driver,
+    make_instance_entry,
+    make_target_entry,
+)
 
 LOW_FLOOR = Service(name=SERVICE, bound=1.25, floor=2, cold_slots=1, cold_requests=1)
 HIGH_FLOOR = Service(name=SERVICE, bound=1.25, floor=8, cold_slots=1, cold_requests=1)
@@ -31,14 +38,16 @@
 ) -> Driver:
     """Return the core of the only instance of its zone, which owns all targets there."""
     names = [f"engine-a{number}" for number in range(1, targets + 1)]
-    entries = [list_target(name) for name in names] + [list_instance(name) for name in peers]
+    entries = [make_target_entry(name) for name in names] + [
+        make_instance_entry(name) for name in peers
+    ]
     driver = Driver(entries, service)
     driver.peers.extend(peers)
     driver.pass_probation(*names)
     if warm:
         for name in driver.core.owner.list_owned():
             driver.core.owner._registry.owned_targets[name].slow_start.mark_warm()
-            driver.report(name, 0)
+            driver.receive_report(name, 0)
     return driver
 
 
@@ -71,7 +80,7 @@
         target = random.choice(names)
         draw = random.random()
         if draw < 0.6:
-            attempt = driver.ask(target)
+            attempt = driver.request_slot(target)
             if driver.is_granted(attempt):
                 running[target].add(attempt)
                 held.append((target, attempt))
@@ -85,14 +94,14 @@
                 running[target].discard(attempt)
             else:
                 still_running.append((driver.now + random.uniform(0.0, 1.5), target, attempt))
-            driver.release(target, attempt, completed=completed)
+            driver.release_slot(target, attempt, completed=completed)
         history.append((driver.now, {name: len(runs) for name, runs in running.items()}))
         if random.random() < 0.3:
             shown = next(
                 (counts for at, counts in reversed(history) if at <= driver.now - lag),
                 dict.fromkeys(names, 0),
             )
-            driver.report(target, shown[target], age=lag, slots=12)
+            driver.receive_report(target, shown[target], age=lag, slots=12)
 
 
 @pytest.mark.parametrize("bound", [1.0, 1.25])
@@ -102,10 +111,10 @@
     service = Service(name=SERVICE, bound=bound, floor=2, cold_slots=1, cold_requests=1)
     driver = make_owner(service, targets=5)
     for number in range(1, 6):
-        driver.report(f"engine-a{number}", 0, slots=100)
+        driver.receive_report(f"engine-a{number}", 0, slots=100)
     for _ in range(20):
         for number in range(1, 6):
-            driver.ask(f"engine-a{number}")
+            driver.request_slot(f"engine-a{number}")
     loads = [driver.read_load(f"engine-a{number}") for number in range(1, 6)]
     assert sum(loads) > 60, loads
     assert max(loads) <= math.ceil(bound * sum(loads) / 5)
@@ -116,14 +125,14 @@
     # the mean and with it the limit of engine 1, whose own state does not change. The next report
     # of engine 1 must grant the queued request.
     driver = make_owner(LOW_FLOOR, targets=4)
-    driver.ask("engine-a1")
-    driver.ask("engine-a1")
-    waiting = driver.ask("engine-a1", max_wait=5.0)
+    driver.request_slot("engine-a1")
+    driver.request_slot("engine-a1")
+    waiting = driver.request_slot("engine-a1", max_wait=5.0)
     assert not driver.find_replies(waiting)
     for _ in range(3):
         for number in range(2, 5):
-            driver.ask(f"engine-a{number}")
-    driver.report("engine-a1", 2)
+            driver.request_slot(f"engine-a{number}")
+    driver.receive_report("engine-a1", 2)
     assert driver.is_granted(waiting)
 
 
@@ -131,34 +140,34 @@
     # The connection to an engine is cut under eight requests, which it goes on running. If their
     # slots were free at once, they would be granted again and the engine would run sixteen.
     driver = make_owner(HIGH_FLOOR)
-    held = [driver.ask(TARGET) for _ in range(8)]
+    held = [driver.request_slot(TARGET) for _ in range(8)]
     assert all(driver.is_granted(attempt) for attempt in held)
     for attempt in held:
-        driver.release(TARGET, attempt, completed=False)
-    assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
+        driver.release_slot(TARGET, attempt, completed=False)
+    assert driver.find_refusal(driver.request_slot(TARGET)) == REFUSAL_FULL
     driver.now += 0.2
-    driver.report(TARGET, 8, age=0.3)
+    driver.receive_report(TARGET, 8, age=0.3)
     assert (
-        driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
+        driver.find_refusal(driver.request_slot(TARGET)) == REFUSAL_FULL
     ), "the report was made before the cut"
     driver.now += 1.0
-    driver.report(TARGET, 5, age=0.3)
+    driver.receive_report(TARGET, 5, age=0.3)
     assert driver.read_load(TARGET) == 5
     driver.now += 0.5
-    driver.report(TARGET, 0, age=0.3)
-    assert driver.is_granted(driver.ask(TARGET))
+    driver.receive_report(TARGET, 0, age=0.3)
+    assert driver.is_granted(driver.request_slot(TARGET))
 
 
 @pytest.mark.parametrize("lag", [0.0, 0.5, 2.0])
 def test_a_late_report_shows_no_foreign_load_after_a_burst_of_releases(lag: float) -> None:
     driver = make_owner(HIGH_FLOOR)
-    held = [driver.ask(TARGET) for _ in range(8)]
-    driver.pass_time(2.5)
+    held = [driver.request_slot(TARGET) for _ in range(8)]
+    driver.advance(2.5)
     for attempt in held:
-        driver.release(TARGET, attempt)
+        driver.release_slot(TARGET, attempt)
     driver.now += 0.1
     # With a large enough lag the report was made when all eight requests still ran.
-    driver.report(TARGET, 8 if lag > 0.1 else 0, age=lag)
+    driver.receive_report(TARGET, 8 if lag > 0.1 else 0, age=lag)
     assert driver.read_load(TARGET) == 0
 
 
@@ -198,8 +207,8 @@
         for one in (first, second):
             one.now += 0.02
             if step % 25 == 0:
-                one.report(TARGET, engine.read_report(one.now), age=lag)
-        attempt = driver.ask(TARGET, holder="entry-b1" if driver is first else "entry-c1")
+                one.receive_report(TARGET, engine.read_report(one.now), age=lag)
+        attempt = driver.request_slot(TARGET, holder="entry-b1" if driver is first else "entry-c1")
         if driver.is_granted(attempt):
             engine.running.add(attempt)
             held[attempt] = (driver, attempt)
@@ -207,7 +216,7 @@
             ended, (owner, _) = random.choice(list(held.items()))
             del held[ended]
             engine.running.discard(ended)
-            owner.release(TARGET, ended)
+            owner.release_slot(TARGET, ended)
         engine.record(driver.now)
     return engine.max_running
 
@@ -228,24 +237,24 @@
 
 
 def test_a_new_owner_grants_nothing_before_a_report_made_after_its_takeover() -> None:
-    driver = Driver([list_target(TARGET)], HIGH_FLOOR)
-    driver.report(TARGET, 0, age=0.5)
-    assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
+    driver = Driver([make_target_entry(TARGET)], HIGH_FLOOR)
+    driver.receive_report(TARGET, 0, age=0.5)
+    assert driver.find_refusal(driver.request_slot(TARGET)) == REFUSAL_FULL
     driver.now += 1.0
-    driver.report(TARGET, 0, age=0.5)
-    assert driver.is_granted(driver.ask(TARGET))
+    driver.receive_report(TARGET, 0, age=0.5)
+    assert driver.is_granted(driver.request_slot(TARGET))
 
 
 def test_a_handover_ends_probation_and_transfers_slots_and_completed_work() -> None:
-    driver = Driver([list_target(TARGET)], HIGH_FLOOR)
-    driver.report(TARGET, 0)
+    driver = Driver([make_target_entry(TARGET)], HIGH_FLOOR)
+    driver.receive_report(TARGET, 0)
     slots = [HeldSlot(attempt=f"t{number}") for number in range(3)]
     renewal = SlotRenewal(instance="entry-b9", incarnation=1, target=TARGET, slots=slots)
-    driver.say(
+    driver.receive(
         "entry-a2", Handover(target=TARGET, holders=[renewal], boot_id="b1", work_done=10_000)
     )
     assert driver.read_load(TARGET) == 3
-    granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(8)]
+    granted = [driver.is_granted(driver.request_slot(TARGET)) for _ in range(8)]
     assert granted.count(True) == 5
 
 
@@ -254,10 +263,10 @@
     # the last heartbeat was sent some time before the pause began.
     driver = make_owner(HIGH_FLOOR)
     driver.handle(events.ProcessPaused(2.9))
-    assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
+    assert driver.find_refusal(driver.request_slot(TARGET)) == REFUSAL_FULL
     driver.now += 0.5
-    driver.report(TARGET, 6)
-    assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_FULL
+    driver.receive_report(TARGET, 6)
+    assert driver.find_refusal(driver.request_slot(TARGET)) == REFUSAL_FULL
 
 
 # Holders that die.
@@ -272,42 +281,42 @@
     """
     driver = make_owner(HIGH_FLOOR, targets=12, peers=("entry-a2",))
     target = driver.core.owner.list_owned()[0]
-    held = [driver.ask(target, holder="entry-a2") for _ in range(8)]
+    held = [driver.request_slot(target, holder="entry-a2") for _ in range(8)]
     assert all(driver.is_granted(attempt) for attempt in held)
     driver.peers.clear()
-    driver.pass_time(driver.core.context.options.peer_silence + 1.5)
+    driver.advance(driver.core.context.options.peer_silence + 1.5)
     assert driver.counts["peers.lost"] == 1
-    assert driver.find_refusal(driver.ask(target)) == REFUSAL_FULL
+    assert driver.find_refusal(driver.request_slot(target)) == REFUSAL_FULL
     driver.now += 1.0
-    driver.report(target, 6, age=0.3)
-    granted = [driver.is_granted(driver.ask(target)) for _ in range(4)]
+    driver.receive_report(target, 6, age=0.3)
+    granted = [driver.is_granted(driver.request_slot(target)) for _ in range(4)]
     assert granted.count(True) == 2
     driver.now += 1.0
-    driver.report(target, 2, age=0.3)
-    assert driver.is_granted(driver.ask(target))
+    driver.receive_report(target, 2, age=0.3)
+    assert driver.is_granted(driver.request_slot(target))
 
 
 def test_slots_of_an_earlier_incarnation_are_freed() -> None:
     driver = make_owner(HIGH_FLOOR)
     for _ in range(8):
-        driver.ask(TARGET, holder="entry-b9", incarnation=5)
-    first = driver.ask(TARGET, holder="entry-b9", incarnation=6)
+        driver.request_slot(TARGET, holder="entry-b9", incarnation=5)
+    first = driver.request_slot(TARGET, holder="entry-b9", incarnation=6)
     assert driver.find_refusal(first) == REFUSAL_FULL
     driver.now += 1.0
-    driver.report(TARGET, 0)
-    assert driver.is_granted(driver.ask(TARGET, holder="entry-b9", incarnation=6))
+    driver.receive_report(TARGET, 0)
+    assert driver.is_granted(driver.request_slot(TARGET, holder="entry-b9", incarnation=6))
 
 
 def test_a_holder_that_was_only_cut_off_registers_its_slots_once() -> None:
     driver = make_owner(HIGH_FLOOR)
-    held = [driver.ask(TARGET, holder="entry-b1") for _ in range(4)]
+    held = [driver.request_slot(TARGET, holder="entry-b1") for _ in range(4)]
     driver.core.owner.expire_holder_slots("entry-b1", 2, driver.now)
     driver.now += 1.0
-    driver.report(TARGET, 4)
+    driver.receive_report(TARGET, 4)
     slots = [HeldSlot(attempt=attempt) for attempt in held]
     renewal = SlotRenewal(instance="entry-b1", incarnation=1, target=TARGET, slots=slots)
-    driver.say("entry-b1", renewal)
-    driver.say("entry-b1", renewal)
+    driver.receive("entry-b1", renewal)
+    driver.receive("entry-b1", renewal)
     assert driver.read_load(TARGET) == 4
 
 
@@ -316,33 +325,33 @@
 
 def test_a_new_boot_id_makes_a_target_cold() -> None:
     driver = make_owner(HIGH_FLOOR)
-    driver.report(TARGET, 0, boot_id="b2")
-    granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(5)]
+    driver.receive_report(TARGET, 0, boot_id="b2")
+    granted = [driver.is_granted(driver.request_slot(TARGET)) for _ in range(5)]
     assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
 def test_a_restarted_fleet_treats_busy_targets_as_warm() -> None:
     # All instances were restarted at once, so none of them knows that the engine is warm. It is
     # seen to run six requests; in slow start it would get one at a time.
-    driver = Driver([list_target(TARGET)], HIGH_FLOOR)
-    driver.report(TARGET, 6)
+    driver = Driver([make_target_entry(TARGET)], HIGH_FLOOR)
+    driver.receive_report(TARGET, 6)
     driver.pass_probation(TARGET, running=0)
-    granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(8)]
+    granted = [driver.is_granted(driver.request_slot(TARGET)) for _ in range(8)]
     assert granted.count(True) >= 6
 
 
 def test_slow_first_bytes_make_a_target_cold_and_long_prompts_do_not() -> None:
     driver = make_owner(HIGH_FLOOR)
     for _ in range(5):
-        driver.release(TARGET, driver.ask(TARGET), first_byte=0.05, tokens=100)
+        driver.release_slot(TARGET, driver.request_slot(TARGET), first_byte=0.05, tokens=100)
     for _ in range(5):
         # 40,000 tokens take five seconds at the declared rate: long, but not slow.
-        driver.release(TARGET, driver.ask(TARGET), first_byte=5.0, tokens=40_000)
+        driver.release_slot(TARGET, driver.request_slot(TARGET), first_byte=5.0, tokens=40_000)
     assert "cold_starts" not in driver.counts
     for _ in range(3):
-        driver.release(TARGET, driver.ask(TARGET), first_byte=1.5, tokens=100)
+        driver.release_slot(TARGET, driver.request_slot(TARGET), first_byte=1.5, tokens=100)
     assert driver.counts["cold_starts"] == 1
-    granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(4)]
+    granted = [driver.is_granted(driver.request_slot(TARGET)) for _ in range(4)]
     assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
@@ -350,16 +359,16 @@
     # An engine turns cold under full load and its requests fail one after the other. Requests that
     # complete after that were granted before and do not show what the engine can serve now.
     driver = make_owner(HIGH_FLOOR)
-    held = [driver.ask(TARGET) for _ in range(8)]
+    held = [driver.request_slot(TARGET) for _ in range(8)]
     driver.now += 0.5
     for attempt in held[:2]:
-        driver.release(TARGET, attempt, completed=False, failed=True)
+        driver.release_slot(TARGET, attempt, completed=False, failed=True)
     assert driver.counts["cold_starts"] == 1
     for attempt in held[2:]:
-        driver.release(TARGET, attempt)
+        driver.release_slot(TARGET, attempt)
     driver.now += 1.0
-    driver.report(TARGET, 0)
-    granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(5)]
+    driver.receive_report(TARGET, 0)
+    granted = [driver.is_granted(driver.request_slot(TARGET)) for _ in range(5)]
     assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
@@ -368,14 +377,14 @@
     # cold again, it would keep the limit of eight.
     driver = make_owner(HIGH_FLOOR, warm=False)
     for _ in range(20):
-        driver.release(TARGET, driver.ask(TARGET), first_byte=0.05)
-    held = [driver.ask(TARGET) for _ in range(8)]
+        driver.release_slot(TARGET, driver.request_slot(TARGET), first_byte=0.05)
+    held = [driver.request_slot(TARGET) for _ in range(8)]
     assert all(driver.is_granted(attempt) for attempt in held)
     for attempt in held:
-        driver.release(TARGET, attempt, completed=False, failed=True)
+        driver.release_slot(TARGET, attempt, completed=False, failed=True)
     driver.now += 1.0
-    driver.report(TARGET, 0)
-    granted = [driver.is_granted(driver.ask(TARGET)) for _ in range(5)]
+    driver.receive_report(TARGET, 0)
+    granted = [driver.is_granted(driver.request_slot(TARGET)) for _ in range(5)]
     assert granted.count(True) == HIGH_FLOOR.cold_slots
 
 
@@ -384,19 +393,19 @@
 
 def test_a_request_that_cannot_be_granted_in_time_is_refused_at_once() -> None:
     driver = make_owner(HIGH_FLOOR)
-    held = [driver.ask(TARGET) for _ in range(8)]
+    held = [driver.request_slot(TARGET) for _ in range(8)]
     driver.now += 4.0
-    driver.release(TARGET, held.pop())
-    held.append(driver.ask(TARGET))
+    driver.release_slot(TARGET, held.pop())
+    held.append(driver.request_slot(TARGET))
     # A slot is released about every half second: eight slots of four seconds each.
-    waiting = driver.ask(TARGET, max_wait=1.2)
+    waiting = driver.request_slot(TARGET, max_wait=1.2)
     assert not driver.find_replies(waiting)
     for _ in range(2):
-        driver.ask(TARGET, max_wait=9.0)
-    late = driver.ask(TARGET, max_wait=1.2)
+        driver.request_slot(TARGET, max_wait=9.0)
+    late = driver.request_slot(TARGET, max_wait=1.2)
     assert driver.find_refusal(late) == REFUSAL_WAIT_TOO_LONG
     assert driver.find_replies(late)[0].retry_after > 0.0
-    assert driver.find_refusal(driver.ask(TARGET, max_wait=0.0)) == REFUSAL_FULL
+    assert driver.find_refusal(driver.request_slot(TARGET, max_wait=0.0)) == REFUSAL_FULL
 
 
 def test_a_chat_waits_for_the_slot_of_its_previous_turn() -> None:
@@ -406,51 +415,51 @@
     it were refused, the chat would go to an engine that has to read its whole context again.
     """
     driver = make_owner(LOW_FLOOR, targets=1, warm=False)
-    first = driver.ask(TARGET)
+    first = driver.request_slot(TARGET)
     driver.now += 0.1
-    driver.release(TARGET, first, completed=True)
-    driver.report(TARGET, 0)
-    before = [driver.ask(TARGET) for _ in range(2)]
+    driver.release_slot(TARGET, first, completed=True)
+    driver.receive_report(TARGET, 0)
+    before = [driver.request_slot(TARGET) for _ in range(2)]
     assert all(driver.is_granted(attempt) for attempt in before)
     driver.now += 0.09
-    turn = driver.ask(TARGET, max_wait=0.03)
+    turn = driver.request_slot(TARGET, max_wait=0.03)
     assert not driver.find_refusal(turn)
     driver.now += 0.01
-    driver.release(TARGET, before[0], completed=True)
+    driver.release_slot(TARGET, before[0], completed=True)
     assert driver.is_granted(turn)
 
 
 def test_a_surge_blocks_neither_slots_nor_queue_for_other_accounts() -> None:
     service = Service(name=SERVICE, floor=4, cold_slots=1, cold_requests=1, max_queue=16)
     driver = make_owner(service)
-    driver.report(TARGET, 0, slots=4)
-    held = [driver.ask(TARGET, account="surge", max_wait=9.0) for _ in range(20)]
-    evicted = driver.ask(TARGET, account="surge", max_wait=9.0)
+    driver.receive_report(TARGET, 0, slots=4)
+    held = [driver.request_slot(TARGET, account="surge", max_wait=9.0) for _ in range(20)]
+    evicted = driver.request_slot(TARGET, account="surge", max_wait=9.0)
     assert driver.find_refusal(evicted) == REFUSAL_QUEUE_FULL
-    others = [driver.ask(TARGET, account="agents", max_wait=9.0) for _ in range(2)]
+    others = [driver.request_slot(TARGET, account="agents", max_wait=9.0) for _ in range(2)]
     for attempt in held[:4]:
-        driver.release(TARGET, attempt)
+        driver.release_slot(TARGET, attempt)
     assert all(driver.is_granted(attempt) for attempt in others)
 
 
 def test_a_waiter_is_refused_when_its_deadline_comes() -> None:
     driver = make_owner(HIGH_FLOOR)
     for _ in range(8):
-        driver.ask(TARGET)
-    waiting = driver.ask(TARGET, max_wait=1.0)
-    driver.pass_time(1.1, 0.1)
+        driver.request_slot(TARGET)
+    waiting = driver.request_slot(TARGET, max_wait=1.0)
+    driver.advance(1.1, 0.1)
     assert driver.find_refusal(waiting) == REFUSAL_WAIT_TOO_LONG
 
 
 def test_waiters_are_refused_when_reports_fail() -> None:
     driver = make_owner(HIGH_FLOOR)
     for _ in range(8):
-        driver.ask(TARGET)
-    waiting = driver.ask(TARGET, max_wait=60.0)
+        driver.request_slot(TARGET)
+    waiting = driver.request_slot(TARGET, max_wait=60.0)
     driver.now += 4.0
     driver.handle(events.ReportFailed(TARGET, "connect"))
     assert driver.find_refusal(waiting) == REFUSAL_NOT_READY
-    assert driver.find_refusal(driver.ask(TARGET)) == REFUSAL_NOT_READY
+    assert driver.find_refusal(driver.request_slot(TARGET)) == REFUSAL_NOT_READY
 
 
 # Members.
@@ -460,32 +469,32 @@
     # The list marks a peer as leaving before the peer itself knows. If each heartbeat reverted
     # that, the peer's targets would change owners every second.
     driver = make_owner(HIGH_FLOOR, targets=12, peers=("entry-a2",))
-    entries = [list_target(f"engine-a{n}") for n in range(1, 13)]
-    driver.read_list(*entries, list_instance("entry-a2", state="leaving"))
+    entries = [make_target_entry(f"engine-a{n}") for n in range(1, 13)]
+    driver.read_list(*entries, make_instance_entry("entry-a2", state="leaving"))
     assert len(driver.core.owner.list_owned()) == 12
     taken = driver.counts["takeovers"]
     for _ in range(3):
-        driver.beat("entry-a2")
-        driver.pass_time(1.0)
-        driver.read_list(*entries, list_instance("entry-a2", state="leaving"))
+        driver.receive_heartbeat("entry-a2")
+        driver.advance(1.0)
+        driver.read_list(*entries, make_instance_entry("entry-a2", state="leaving"))
     assert driver.counts["takeovers"] == taken
 
 
 def test_an_instance_listed_as_leaving_releases_its_targets() -> None:
     driver = make_owner(HIGH_FLOOR, targets=12, peers=("entry-a2",))
     assert driver.core.owner.list_owned()
-    entries = [list_target(f"engine-a{n}") for n in range(1, 13)]
-    own = list_instance("entry-a1", state="leaving")
-    driver.read_list(*entries, own, list_instance("entry-a2"))
+    entries = [make_target_entry(f"engine-a{n}") for n in range(1, 13)]
+    own = make_instance_entry("entry-a1", state="leaving")
+    driver.read_list(*entries, own, make_instance_entry("entry-a2"))
     assert not driver.core.owner.list_owned()
     assert driver.list_sent(Handover)
 
 
 def test_a_heartbeat_does_not_overwrite_the_state_of_an_owned_target() -> None:
     driver = make_owner(HIGH_FLOOR)
-    driver.ask(TARGET)
+    driver.request_slot(TARGET)
     load = TargetLoad(target=TARGET, boot_id="other", load=99, ready=True, service_name=SERVICE)
-    driver.beat("entry-a2", load)
+    driver.receive_heartbeat("entry-a2", load)
     assert driver.read_load(TARGET) == 1
     assert driver.core.context.fleet.targets[TARGET].zone == ZONE
 
@@ -501,17 +510,19 @@
     left, so it would become the owner of its targets and send them its callers' work for as long as
     the partition lasts.
     """
-    driver = Driver([list_target(TARGET), list_target("engine-b1", "almaty-b")], HIGH_FLOOR)
+    driver = Driver(
+        [make_target_entry(TARGET), make_target_entry("engine-b1", "almaty-b")], HIGH_FLOOR
+    )
     for holder in HOLDERS:
         driver.handle(events.PeerLost(holder))
     for _ in range(6):
-        driver.pass_time(1.0)
+        driver.advance(1.0)
         driver.handle(events.RowsRead(CHANGE_SCAN_OP, "failed"))
     assert driver.core.owner.list_owned() == [TARGET]
     driver.handle(events.RowsRead(CHANGE_SCAN_OP, "done"))
-    driver.pass_time(1.0)
+    driver.advance(1.0)
     assert sorted(driver.core.owner.list_owned()) == [TARGET, "engine-b1"]
     for _ in range(6):
-        driver.pass_time(1.0)
+        driver.advance(1.0)
         driver.handle(events.RowsRead(CHANGE_SCAN_OP, "failed"))
     assert driver.core.owner.list_owned() == [TARGET]
--- a/tests/core/routing/test_search.py
+++ b/tests/core/routing/test_search.py
@@ -8,7 +8,7 @@
 from rhubarbbend.core.messages import SlotReply, SlotRequest, ZoneReply
 from rhubarbbend.core.owners._grants import REFUSAL_FULL, REFUSAL_NOT_OWNER, REFUSAL_NOT_READY
 from rhubarbbend.core.routing._tickets import ContextLocation, Ticket, encode_ticket
-from tests.core.driver import KINDS, SERVICE, Driver, list_target
+from tests.core.core_driver import KINDS, SERVICE, Driver, make_target_entry
 
 OTHER_ZONE = "almaty-b"
 ENGINES = ("engine-b1", "engine-b2", "engine-b3")
@@ -17,7 +17,7 @@
 
 def start(*targets: str, zone: str = OTHER_ZONE) -> Driver:
     """Return the driver of a core with an account, a model and targets of a zone."""
-    entries = [list_target(name, zone) for name in targets]
+    entries = [make_target_entry(name, zone) for name in targets]
     driver = Driver(entries, Service(SERVICE))
     driver.declare(2, Account("agents", "agents"), Model("camp-large", SERVICE))
     return driver
@@ -111,7 +111,7 @@
     driver = start("engine-a1", zone="almaty-a")
     report = events.ReportRead("engine-a1", "b1", "ready", 0, 8, 0.0, ["camp-large"])
     for _ in range(8):
-        driver.pass_time(0.5, 0.5)
+        driver.advance(0.5, 0.5)
         driver.handle(report)
     for model, refusal in (("camp-adapter", REFUSAL_NOT_READY), ("camp-large", "")):
         slot_request = SlotRequest(
@@ -123,7 +123,7 @@
             service_name=SERVICE,
             model=model,
         )
-        driver.say("entry-b9", slot_request)
+        driver.receive("entry-b9", slot_request)
         replies = driver.find_replies(slot_request.attempt)
         assert [reply.refusal for reply in replies] == [refusal]
 
@@ -139,7 +139,10 @@
     # The links to the other zone's instances are lost. Asking them would cost each request a
     # time-out, so the request goes to the own zone's target although its home is in the other zone.
     driver = Driver(
-        [list_target("engine-a1"), *(list_target(name, OTHER_ZONE) for name in ENGINES)],
+        [
+            make_target_entry("engine-a1"),
+            *(make_target_entry(name, OTHER_ZONE) for name in ENGINES),
+        ],
         Service(SERVICE),
     )
     driver.declare(2, Account("agents", "agents"), Model("camp-large", SERVICE))
@@ -159,7 +162,9 @@
     # overloaded machine there were 22 slow answers instead of one per caller. Later requests must
     # go elsewhere at once until the owner is heard again.
     service = Service(SERVICE, floor=4, cold_slots=4)
-    driver = Driver([list_target("engine-a1"), list_target("engine-b1", OTHER_ZONE)], service)
+    driver = Driver(
+        [make_target_entry("engine-a1"), make_target_entry("engine-b1", OTHER_ZONE)], service
+    )
     driver.declare(2, Account("agents", "agents"), Model("camp-large", SERVICE))
     driver.pass_probation("engine-a1")
     ticket = make_ticket(driver, "engine-b1", "")
@@ -168,13 +173,13 @@
     assert slot_request.target == "engine-b1"
     ends = driver.now + slot_request.max_wait + CoreOptions().slot_timeout + 0.3
     while driver.now < ends:
-        driver.pass_time(0.5, 0.5)
-        driver.report("engine-a1", 0)
+        driver.advance(0.5, 0.5)
+        driver.receive_report("engine-a1", 0)
     before = count_slot_requests(driver)
     done = send_chat(driver, "r2", ticket)
     assert [a.target for a in done if isinstance(a, actions.Dispatch)] == ["engine-a1"]
     assert count_slot_requests(driver) == before
-    driver.say(owner, ZoneReply(instance=owner, zone=OTHER_ZONE))
+    driver.receive(owner, ZoneReply(instance=owner, zone=OTHER_ZONE))
     send_chat(driver, "r3", ticket)
     assert count_slot_requests(driver) == before + 1
 
@@ -191,8 +196,8 @@
         while count_slot_requests(driver) > answered:
             answered = count_slot_requests(driver)
             answer_slot_request(driver, REFUSAL_NOT_OWNER, "entry-c1")
-        driver.pass_time(0.05, 0.05)
-    driver.pass_time(0.3, 0.05)
+        driver.advance(0.05, 0.05)
+    driver.advance(0.3, 0.05)
     assert not [name for name in driver.counts if name.startswith("refused.")]
     done = answer_slot_request(driver, "")
     assert [action for action in done if isinstance(action, actions.Dispatch)]
--- a/tests/core/test_stop.py
+++ b/tests/core/test_stop.py
@@ -6,8 +6,8 @@
 from rhubarbbend.core._fleet import compute_rendezvous_weight
 from rhubarbbend.core.claims._key_issuer import KeyIssuer
 from rhubarbbend.core.messages import Handover, Heartbeat, ZoneQuery
-from tests.core.drive import introduce, pick, run_timers, scan, start_core
-from tests.core.test_service import ask, read_refusals, start_owner
+from tests.core.core_helpers import add_seed, answer_scan, filter_actions, run_timers, start_core
+from tests.core.test_service import list_slot_replies, request_slot, start_owner
 
 STOP = events.StopRequested()
 
@@ -16,12 +16,12 @@
     """Guard against a second SIGTERM that interrupts requests or restarts the planned stop."""
     core = start_owner(("t1", "a", "live"))
     found = core.handle(STOP, 10.0)
-    assert pick(found, actions.SetReady) == [actions.SetReady(False)]
+    assert filter_actions(found, actions.SetReady) == [actions.SetReady(False)]
     run_timers(core, 10.5)
     assert core.handle(STOP, 10.5) == []
     found = run_timers(core, 20.0)
-    assert len(pick(found, actions.StopAccepting)) == 1
-    assert len(pick(found, actions.Exit)) == 1
+    assert len(filter_actions(found, actions.StopAccepting)) == 1
+    assert len(filter_actions(found, actions.Exit)) == 1
 
 
 def test_stop_during_startup_exits_at_once_and_never_becomes_ready() -> None:
@@ -32,10 +32,10 @@
     """
     core = start_core("e1")
     core.handle(STOP, 0.5)
-    found = scan(core, 0.51, status="failed") + run_timers(core, 0.8)
-    assert len(pick(found, actions.Exit)) == 1
-    later = scan(core, 0.9) + run_timers(core, 5.0)
-    assert pick(later, actions.SetReady) == []
+    found = answer_scan(core, 0.51, status="failed") + run_timers(core, 0.8)
+    assert len(filter_actions(found, actions.Exit)) == 1
+    later = answer_scan(core, 0.9) + run_timers(core, 5.0)
+    assert filter_actions(later, actions.SetReady) == []
 
 
 def test_only_instance_grants_slots_until_it_exits() -> None:
@@ -46,7 +46,9 @@
     request = events.RequestArrived("r1", "a" * 64, "booking", "", "POST", "/bookings", "d", 5.0)
     request.key = "k1"
     found = core.handle(request, 10.1)
-    assert len(pick(found, actions.WriteRows)) == 1 and not pick(found, actions.Refuse)
+    assert len(filter_actions(found, actions.WriteRows)) == 1 and not filter_actions(
+        found, actions.Refuse
+    )
 
 
 def test_owner_announces_leaving_before_handover() -> None:
@@ -63,11 +65,11 @@
         for n in range(99)
         if compute_rendezvous_weight("t1", f"s{n}") < compute_rendezvous_weight("t1", "e1")
     )
-    introduce(core, start_core(name), 3.6)
+    add_seed(core, start_core(name), 3.6)
     core.handle(events.PeerSaid(name, Heartbeat(instance=name, zone="a", host="h")), 4.0)
-    introduce(core, start_core("e2", zone="b"), 4.0)
-    assert read_refusals(ask(core, "x1", 4.1)) == [("x1", "")]
-    sent = [action.message for action in pick(core.handle(STOP, 10.0), actions.SendPeer)]
+    add_seed(core, start_core("e2", zone="b"), 4.0)
+    assert list_slot_replies(request_slot(core, "x1", 4.1)) == [("x1", "")]
+    sent = [action.message for action in filter_actions(core.handle(STOP, 10.0), actions.SendPeer)]
     leaving_heartbeats = [n for n, m in enumerate(sent) if isinstance(m, Heartbeat) and m.leaving]
     handovers = [n for n, m in enumerate(sent) if isinstance(m, Handover)]
     assert min(leaving_heartbeats) < min(handovers)
@@ -84,16 +86,18 @@
     core = start_owner(("t1", "a", "live"))
     keys = KeyIssuer(core.context).issue("desk", 1, 9.0)
     core.handle(STOP, 10.0)
-    refused = pick(core.handle(events.KeysRequested("q1", "a" * 64, 1), 10.1), actions.Refuse)
+    refused = filter_actions(
+        core.handle(events.KeysRequested("q1", "a" * 64, 1), 10.1), actions.Refuse
+    )
     assert [action.code for action in refused] == ["stopping"]
     request = events.RequestArrived("r1", "a" * 64, "booking", "", "POST", "/bookings", "d", 5.0)
     request.key = keys[0]
     found = core.handle(request, 10.2)
-    dispatched = pick(found, actions.Dispatch)
+    dispatched = filter_actions(found, actions.Dispatch)
     assert [action.target for action in dispatched] == ["t1"]
-    assert pick(run_timers(core, 13.0), actions.Exit) == []
+    assert filter_actions(run_timers(core, 13.0), actions.Exit) == []
     core.handle(events.AttemptDone(dispatched[0].attempt, 200, 1.0), 13.1)
-    assert len(pick(run_timers(core, 14.0), actions.Exit)) == 1
+    assert len(filter_actions(run_timers(core, 14.0), actions.Exit)) == 1
 
 
 def test_zone_queries_of_a_stopping_instance_are_marked_leaving() -> None:
@@ -110,7 +114,7 @@
     core.handle(events.PeerLost("e2"), 2.1)
     queries = [
         action.message
-        for action in pick(run_timers(core, 8.0), actions.SendPeer)
+        for action in filter_actions(run_timers(core, 8.0), actions.SendPeer)
         if isinstance(action.message, ZoneQuery)
     ]
     assert queries and all(query.leaving for query in queries)
--- a/tests/operators/test_server.py
+++ b/tests/operators/test_server.py
@@ -12,7 +12,7 @@
 from rhubarbbend.core import Core
 from rhubarbbend.core.events import ChangeProposed, Event
 from rhubarbbend.operators import SCHEMA, ChangeAnswer, OperatorClient, OperatorServer, _server
-from tests.core.drive import make_row, make_zone, scan, start_core
+from tests.core.core_helpers import answer_scan, make_row, make_zone, start_core
 
 KEY = "k" * 64
 # The headers of valid calls; hypothesis generates the rest.
@@ -33,7 +33,7 @@
 
 def make_core() -> Core:
     core = start_core("e1")
-    scan(core, 4.0, make_row(1, make_zone("a", True)))
+    answer_scan(core, 4.0, make_row(1, make_zone("a", True)))
     return core
 
 
