--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -7,11 +7,11 @@
 
 from rhubarbbend import codes
 from rhubarbbend.core.catalog import RequestKind
-from rhubarbbend.core.delivery import AttemptEnd, PaceBook
+from rhubarbbend.core.delivery import AttemptOutcome, LatencyTracker
 from rhubarbbend.core.directory import Target
 from rhubarbbend.core.placement import Choice
 from rhubarbbend.gateway._interfaces import TargetAnswer, TargetOrder, TargetProtocol
-from rhubarbbend.gateway._listening import StreamPatience, TargetListener
+from rhubarbbend.gateway._listening import StreamTimeoutPolicy, TargetListener
 from rhubarbbend.gateway._requests import KeptAnswer, OpenRequest
 from rhubarbbend.gateway._state import Clock, State, read_clock
 from rhubarbbend.http import (
@@ -40,7 +40,9 @@
 IDLE_MARGIN: Final = 1.0
 # After these nothing more goes over a connection. A target that rejects a request may not have read
 # its body yet and may close while the next request is on its way, which would then fail unrun.
-UNSETTLED: Final = frozenset({AttemptEnd.BROKEN, AttemptEnd.MISDIRECTED, AttemptEnd.REJECTED})
+UNSETTLED: Final = frozenset(
+    {AttemptOutcome.BROKEN, AttemptOutcome.MISDIRECTED, AttemptOutcome.REJECTED}
+)
 # Statuses that promise a caller that its request did not and will not run.
 PROMISES: Final = frozenset({408, 421, 429, 503})
 
@@ -50,7 +52,7 @@
 
 
 class AttemptRunner:
-    """Runs attempts. Invariant: each is counted in the load book from its choice to its end."""
+    """Runs attempts. Invariant: each is counted in the load tracker from its choice to its end."""
 
     def __init__(
         self, state: State, pool: ConnectionPool, protocol: TargetProtocol, clock: Clock
@@ -59,25 +61,25 @@
         self._pool = pool
         self._protocol = protocol
         self._clock = clock
-        self._paces = PaceBook()
+        self._latencies = LatencyTracker()
         self._listener = TargetListener(state, pool, CONNECT_TIMEOUT, clock)
         # Told of a request that a target broke off before it answered; set by the instance.
         self.crash_listener: Callable[[OpenRequest, Target], None] = lambda request, target: None
 
-    async def run(self, request: OpenRequest, choice: Choice) -> AttemptEnd:
+    async def run(self, request: OpenRequest, choice: Choice) -> AttemptOutcome:
         """Send a request to a target; pass its answer on, or tell how it failed."""
         target = choice.target
         request.attempt_target = target
         request.chosen_at = self._clock()
-        self._state.loads.begin(target.id)
-        self._state.placement.note_chosen(target, request.chosen_at)
+        self._state.loads.record_start(target.id)
+        self._state.placement.record_chosen(target, request.chosen_at)
         try:
             connection = await self._connect(request, target)
             if connection is None:
-                return AttemptEnd.UNREACHED
+                return AttemptOutcome.UNREACHED
             return await self._exchange(request, choice, connection)
         finally:
-            self._state.loads.end(target.id)
+            self._state.loads.record_end(target.id)
 
     async def _connect(self, request: OpenRequest, target: Target) -> Connection | None:
         now = self._clock()
@@ -86,15 +88,15 @@
         is_trial = health.begin_trial(target.id, now)
         try:
             # Only a new connection shows whether a target that was lost is there again.
-            connection = await self._pool.take(
+            connection = await self._pool.acquire(
                 target.address, now, is_trial, CONNECT_TIMEOUT, max_idle=limit
             )
         except HttpFailure as failure:
             now = self._clock()
             timed_out = failure.reason == REASON_TIMEOUT
-            note = health.note_timeout if timed_out else health.note_unreachable
+            note = health.record_connect_timeout if timed_out else health.record_unreachable
             held = note(target.id, now)
-            if timed_out and health.is_lost(target.id):
+            if timed_out and health.is_unreachable(target.id):
                 self._state.note_lost(target, now)
             self._state.metrics.add(codes.RETRY_CONNECT)
             self._log(
@@ -107,16 +109,16 @@
             )
             return None
         if not connection.reused:
-            health.note_connected(target.id, now)
+            health.record_connected(target.id, now)
         return connection
 
     async def _exchange(
         self, request: OpenRequest, choice: Choice, connection: Connection
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         """Send over a connection and read the answer; the connection is kept if it is sound."""
         if request.progress.sends > 0:
             self._take_retry(request, connection)
-        end = AttemptEnd.BROKEN
+        end = AttemptOutcome.BROKEN
         answer: TargetAnswer | None = None
         self._listener.add(choice.target.id, connection)
         try:
@@ -131,7 +133,7 @@
         finally:
             self._listener.discard(choice.target.id, connection)
             self._settle(connection, answer, end)
-        if end in (AttemptEnd.REJECTED, AttemptEnd.MISDIRECTED, AttemptEnd.FAILED):
+        if end in (AttemptOutcome.REJECTED, AttemptOutcome.MISDIRECTED, AttemptOutcome.FAILED):
             self._log(
                 "attempt_ended",
                 request,
@@ -151,8 +153,8 @@
     def _take_retry(self, request: OpenRequest, connection: Connection) -> None:
         instances = len(self._state.list_instances())
         share = self._state.find_retries(request.service.name)
-        if not share.take(instances, self._clock()):
-            self._pool.give_back(connection, self._clock())
+        if not share.try_acquire(instances, self._clock()):
+            self._pool.release(connection, self._clock())
             raise BudgetSpent
 
     def _send(self, request: OpenRequest, choice: Choice, connection: Connection) -> None:
@@ -170,7 +172,7 @@
         connection.send_raw(caller.method, caller.target, headers, caller.body)
         request.sent_at = now
         request.relay.has_begun = False
-        self._state.placement.note_sent(choice, caller.prompt, request.chosen_at, now)
+        self._state.placement.record_sent(choice, caller.prompt, request.chosen_at, now)
         self._log(
             "sent",
             request,
@@ -204,7 +206,7 @@
             self._log("stray_answer", request, target, carried=answer.request)
             if not answer.request:
                 raise HttpFailure(SendStage.RESPONSE, "the answer carries no id")
-            await connection.skip_response(STRAY_TIMEOUT)
+            await connection.discard_response(STRAY_TIMEOUT)
         if answer.held is not None:
             self._take_word(request, target, answer.held)
         return answer
@@ -214,9 +216,9 @@
         now = self._clock()
         is_told = request.service.engine is not None
         unseen = held - round(self._state.loads.estimate(target.id, is_told, now))
-        self._state.metrics.add(codes.LOAD_WORDS)
-        self._state.metrics.add(codes.LOAD_UNSEEN, max(0, unseen))
-        self._state.loads.take_report(target.id, held, now)
+        self._state.metrics.add(codes.LOAD_REPORTS_IN_ANSWERS)
+        self._state.metrics.add(codes.LOAD_UNDERESTIMATED, max(0, unseen))
+        self._state.loads.record_report(target.id, held, now)
 
     async def _await_head(
         self, request: OpenRequest, target: Target, connection: Connection
@@ -227,30 +229,33 @@
         """
         if not _may_move(request):
             return await connection.receive_head(_compute_rest(request, self._clock()))
-        patience = self._make_patience(request, target)
+        timeout_policy = self._make_timeout_policy(request, target)
         began = self._clock()
         while True:
-            more = patience.extend(self._clock() - began)
+            more = timeout_policy.compute_remaining_s(self._clock() - began)
             try:
                 return await connection.receive_head(more)
             except HttpFailure as failure:
                 # The system, too, says "time-out" of a connection that it has given up.
                 is_silent = failure.reason == REASON_TIMEOUT and not connection.closed
-                if not is_silent or patience.extend(self._clock() - began) <= 0.0:
+                if (
+                    not is_silent
+                    or timeout_policy.compute_remaining_s(self._clock() - began) <= 0.0
+                ):
                     raise
 
-    def _make_patience(self, request: OpenRequest, target: Target) -> StreamPatience:
-        return StreamPatience(request, target, self._listener, self._paces, self._clock)
+    def _make_timeout_policy(self, request: OpenRequest, target: Target) -> StreamTimeoutPolicy:
+        return StreamTimeoutPolicy(request, target, self._listener, self._latencies, self._clock)
 
     async def _receive_rest(
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         if answer.misdirected:
             await _read_all(connection, request)
-            return AttemptEnd.MISDIRECTED
+            return AttemptOutcome.MISDIRECTED
         if answer.not_run:
             await _read_all(connection, request)
-            return AttemptEnd.REJECTED
+            return AttemptOutcome.REJECTED
         if not answer.genuine or answer.status in PROMISES:
             # It ran, or may have: passed on, its status would promise that it did not.
             raise HttpFailure(SendStage.RESPONSE, f"no answer of its own, status {answer.status}")
@@ -266,18 +271,18 @@
         failed = answer.status >= 500
         if failed and _may_move(request) and self._has_retry_left(request):
             request.kept_answer = KeptAnswer(answer, body)
-            return AttemptEnd.FAILED
+            return AttemptOutcome.FAILED
         pass_on(request, KeptAnswer(answer, body))
-        return AttemptEnd.FAILED if failed else AttemptEnd.ANSWERED
+        return AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED
 
     def _has_retry_left(self, request: OpenRequest) -> bool:
         instances = len(self._state.list_instances())
         share = self._state.find_retries(request.service.name)
-        return share.compute_left(instances, self._clock()) >= 1.0
+        return share.compute_remaining(instances, self._clock()) >= 1.0
 
     async def _relay_stream(
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         relay = request.relay
         resumed = request.answer is not None and relay.started
         if not resumed:
@@ -285,27 +290,27 @@
         sent_at = request.sent_at
 
         def note_begun() -> None:
-            self._paces.note_first(request.route, self._clock() - sent_at)
-            connection.reset_pause()
+            self._latencies.record_first_event(request.route, self._clock() - sent_at)
+            connection.reset_longest_receive_gap()
 
         relay.begin_run(resumed, note_begun)
         # A stream that cannot be resumed is lost if it is given up, so it is waited for.
         rest = _compute_rest(request, self._clock())
-        patience = self._make_patience(request, target) if _may_move(request) else rest
-        await connection.relay_body(relay, patience)
+        timeout_policy = self._make_timeout_policy(request, target) if _may_move(request) else rest
+        await connection.relay_body(relay, timeout_policy)
         if not relay.is_whole():
             raise HttpFailure(SendStage.RESPONSE, "the stream ended within an event")
-        self._paces.note_pause(request.route, connection.longest_pause)
+        self._latencies.record_longest_pause(request.route, connection.longest_receive_gap_s)
         if not relay.started:
             request.answer = answer
             request.progress.started = True
             request.exchange.start_raw(answer.status, answer.headers)
         request.exchange.finish()
-        return AttemptEnd.ANSWERED
+        return AttemptOutcome.ANSWERED
 
     def _note_failure(
         self, request: OpenRequest, target: Target, failure: HttpFailure
-    ) -> AttemptEnd:
+    ) -> AttemptOutcome:
         self._log(
             "attempt_failed",
             request,
@@ -316,10 +321,10 @@
             last_event=request.relay.last_id or None,
         )
         if failure.stage is SendStage.CONNECT:
-            return AttemptEnd.UNREACHED
+            return AttemptOutcome.UNREACHED
         if failure.stage is SendStage.SENT and failure.reason != REASON_TIMEOUT:
             self.crash_listener(request, target)
-        return AttemptEnd.BROKEN
+        return AttemptOutcome.BROKEN
 
     def _was_dead(
         self, request: OpenRequest, target: Target, connection: Connection, failure: HttpFailure
@@ -329,32 +334,34 @@
         Each lowers the time for which connections to the target may rest, so that a target that
         breaks off connections of any age is found out by the next new one.
         """
-        if connection.rested < LEAST_REST or failure.stage is not SendStage.SENT:
+        if connection.idle_time_s < LEAST_REST or failure.stage is not SendStage.SENT:
             return False
         if failure.reason == REASON_TIMEOUT:
             return False
-        self._pool.note_dead(connection.address, connection.rested, self._clock())
+        self._pool.record_dead_idle(connection.address, connection.idle_time_s, self._clock())
         self._state.metrics.add(codes.IDLE_CONNECTIONS_DEAD)
-        self._log("idle_connection_dead", request, target, rested=round(connection.rested, 3))
+        self._log("idle_connection_dead", request, target, rested=round(connection.idle_time_s, 3))
         return True
 
-    def _settle(self, connection: Connection, answer: TargetAnswer | None, end: AttemptEnd) -> None:
+    def _settle(
+        self, connection: Connection, answer: TargetAnswer | None, end: AttemptOutcome
+    ) -> None:
         """Keep a connection whose answer was read whole; close every other, which ends its work."""
         if answer is None or answer.closes or end in UNSETTLED:
             connection.close()
             return
         if answer.idle_limit is not None:
-            connection.idle_limit = answer.idle_limit - IDLE_MARGIN
-        self._pool.give_back(connection, self._clock())
+            connection.idle_timeout_s = answer.idle_limit - IDLE_MARGIN
+        self._pool.release(connection, self._clock())
 
-    def _note_health(self, target: Target, request: OpenRequest, end: AttemptEnd) -> None:
+    def _note_health(self, target: Target, request: OpenRequest, end: AttemptOutcome) -> None:
         now = self._clock()
         health = self._state.health
-        if end is AttemptEnd.MISDIRECTED:
-            health.note_unreachable(target.id, now)
+        if end is AttemptOutcome.MISDIRECTED:
+            health.record_unreachable(target.id, now)
             return
-        health.note_answer(target.id, end is not AttemptEnd.ANSWERED, now)
-        if end is AttemptEnd.ANSWERED:
+        health.record_response(target.id, end is not AttemptOutcome.ANSWERED, now)
+        if end is AttemptOutcome.ANSWERED:
             self._state.crashes.clear(request.digest)
 
 
--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -13,14 +13,14 @@
 from typing import Any, Final
 
 from rhubarbbend import codes
-from rhubarbbend.core.readers import ReaderPlan
+from rhubarbbend.core.readers import ReaderSelector
 from rhubarbbend.gateway._instance_list import InstanceList
 from rhubarbbend.gateway._intake import StateIntake
 from rhubarbbend.gateway._interfaces import StateDecoder
 from rhubarbbend.gateway._peers import ChangesReply, PeerClient, ReaderPosition
 from rhubarbbend.gateway._settings import Address
 from rhubarbbend.gateway._state import INSTANCE_TABLE, Note, State, read_clock
-from rhubarbbend.storage import HistoryGone, RowStore, StoreError
+from rhubarbbend.storage import HistoryCompacted, RowStore, StoreError
 
 # Changes that come in quick succession are read together: each call costs the store as much as
 # one with more of them.
@@ -89,7 +89,7 @@
         store: RowStore,
         decoder: StateDecoder,
         peers: PeerClient,
-        plan: ReaderPlan,
+        selector: ReaderSelector,
     ) -> None:
         self._state = state
         self._store = store
@@ -97,7 +97,7 @@
         self._intake = StateIntake(state, decoder)
         self.instances = InstanceList(state, store, self._intake, peers, self._note_failure)
         self._peers = peers
-        self._plan = plan
+        self._selector = selector
         self._contact = StoreContact()
         # Set while this instance reads the store itself.
         self._reads = asyncio.Event()
@@ -139,7 +139,7 @@
         """Ask for everything anew, over new connections: this process has been away."""
         self._state.known_at = -math.inf
         self._begin_reading("paused")
-        self._store.reset()
+        self._store.close_connections()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(work))
@@ -166,7 +166,7 @@
             is_first = not self._state.mirror.tables[table].known
             try:
                 changed = await self._read_once(table, whole)
-            except HistoryGone:
+            except HistoryCompacted:
                 # The whole table is read next; until then what is known holds.
                 self._log("history_gone", table=table)
                 whole = True
@@ -193,7 +193,7 @@
         return LONGEST_LISTENER_PAUSE if self._has_reader() else LONGEST_PAUSE
 
     def _has_reader(self) -> bool:
-        return self._plan.choose(self._state.instances, read_clock()) is not None
+        return self._selector.select_reader(self._state.instances, read_clock()) is not None
 
     async def _read_once(self, table: str, whole: bool) -> bool:
         """Read a table, or wait for what changes in it; tells whether anything has."""
@@ -204,7 +204,7 @@
             page = await self._store.read_table(table)
         else:
             wait = self._choose_wait(table, asked)
-            page = await self._store.follow_table(table, mirrored.position, wait)
+            page = await self._store.watch_table(table, mirrored.position, wait)
         now = read_clock()
         self._note_answer(now)
         if table == self._state.config_table:
@@ -220,14 +220,16 @@
             return timings.table_wait
         # One that does not know yet whether others wait at it waits as briefly as one that does:
         # with a longer wait under way its first listeners would all turn to the store.
-        may_read = not self.instances.is_settled or self._plan.is_reader(self._state.instances, now)
+        may_read = not self.instances.is_settled or self._selector.is_reader(
+            self._state.instances, now
+        )
         return timings.reader_wait if may_read else timings.table_wait
 
     def _note_answer(self, now: float) -> None:
         away = self._contact.note_answer(now)
         if away is None:
             return
-        self._state.directory.note_store_returned(now)
+        self._state.registry.record_store_recovery(now)
         self._log("store_regained", away=round(away, 3))
 
     def _note_failure(self, table: str, error: StoreError) -> None:
@@ -236,7 +238,7 @@
         if self._contact.note_failure(now):
             self._log("store_lost", table=table, reason=str(error))
             # Waits on other connections may have been lost with this one.
-            self._store.reset()
+            self._store.close_connections()
 
     # The zone's reader.
 
@@ -245,7 +247,7 @@
         position = ReaderPosition()
         while True:
             now = read_clock()
-            reader = self._plan.choose(self._state.instances, now)
+            reader = self._selector.select_reader(self._state.instances, now)
             if reader is None:
                 self._begin_reading("no reader to wait at")
                 await self._state.changed.wait(PLAN_INTERVAL)
@@ -278,10 +280,10 @@
             await asyncio.sleep(START_INTERVAL)
             return None
         if reply is None:
-            self._plan.note_silence(reader, now)
+            self._selector.record_no_answer(reader, now)
             self._log("reader_silent", reader=reader, known_age=self._state.show_age(now))
         else:
-            self._plan.note_answer(reader)
+            self._selector.record_answer(reader)
             self._take_reply(reply, asked, now)
         max_age = self._state.timings.max_age
         if self._state.measure_age(now) > max_age:
@@ -301,25 +303,25 @@
         self._state.known_at = max(self._state.known_at, known_at)
         if reply.pages:
             self._intake.take_pages(reply.pages, "peer")
-        self._state.loads.hear(reply.loads, True, now)
+        self._state.loads.merge_reports(reply.loads, True, now)
         for note in reply.news.items:
             self._state.hear(note, now)
 
     def _note_return(self, reply: ChangesReply, asked: float) -> None:
         """Take in that the store has returned: what lapsed with it is not gone yet."""
         if reply.since_return is not None:
-            self._state.directory.note_store_returned(asked - reply.since_return)
+            self._state.registry.record_store_recovery(asked - reply.since_return)
 
     def _begin_reading(self, reason: str) -> None:
         if not self._reads.is_set():
             self._reads.set()
-            self._state.metrics.add(codes.STORE_READS_BEGUN)
+            self._state.metrics.add(codes.DIRECT_STORE_READS_STARTED)
             self._log("reads_store", reason=reason, known_age=self._state.show_age(read_clock()))
 
     def _stop_reading(self, reader: str) -> None:
         if self._reads.is_set():
             self._reads.clear()
-            self._store.reset()
+            self._store.close_connections()
             self._log("waits_at_reader", reader=reader)
 
     async def _share_loads(self) -> None:
@@ -328,8 +330,8 @@
         while True:
             await asyncio.sleep(HOLD)
             now = read_clock()
-            if self._plan.is_reader(self._state.instances, now):
-                loads = self._state.loads.list_since(told_at, False, now)
+            if self._selector.is_reader(self._state.instances, now):
+                loads = self._state.loads.list_reports_since(told_at, False, now)
                 if loads:
                     await self._peers.tell(Note(loads=loads))
             told_at = now
@@ -376,8 +378,8 @@
     async def _drop_gone(self) -> None:
         while True:
             await asyncio.sleep(1.0)
-            for target in self._state.directory.drop_gone(read_clock()):
-                self._state.placement.note_departure(target, read_clock())
+            for target in self._state.registry.expire_unregistered(read_clock()):
+                self._state.placement.record_departure(target, read_clock())
                 self._log("target_gone", target=target.id)
 
     def _log(self, event: str, **fields: Any) -> None:
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from rhubarbbend import VERSION, codes
-from rhubarbbend.core.readers import InstanceRow, ReaderPlan
+from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._attempts import AttemptRunner
 from rhubarbbend.gateway._crash_watch import CrashWatch
 from rhubarbbend.gateway._follower import StateFollower
@@ -77,14 +77,14 @@
         self._peer_pool = ConnectionPool(TARGET_IDLE)
         attempts = AttemptRunner(self.state, self._pool, adapter.targets, read_clock)
         self._requests = RequestServer(self.state, adapter.callers, attempts, read_clock)
-        plan = ReaderPlan(settings.instance, settings.zone)
-        self._peers = PeerClient(self.state, self._peer_pool, plan)
+        selector = ReaderSelector(settings.instance, settings.zone)
+        self._peers = PeerClient(self.state, self._peer_pool, selector)
         crashes = CrashWatch(self.state, self._peers, self._spawn)
         attempts.crash_listener = crashes.suspect
         self._follower = StateFollower(
-            self.state, adapter.store, adapter.decoder, self._peers, plan
+            self.state, adapter.store, adapter.decoder, self._peers, selector
         )
-        self._load_telling = LoadTelling(self.state, plan)
+        self._load_telling = LoadTelling(self.state, selector)
         self._callers = HttpServer(self._requests.serve)
         self._servers: list[HttpServer] = [self._callers]
         self._background: set[asyncio.Task[None]] = set()
@@ -92,7 +92,7 @@
         self._limits_version = -1
         self._settings_read_at = 0.0
         self._has_places = asyncio.Event()
-        self.state.placement.places.on_news = self._has_places.set
+        self.state.placement.prompt_locations.on_update = self._has_places.set
 
     async def run(self) -> None:
         """Serve until a planned stop has ended."""
@@ -167,10 +167,10 @@
         state = self.state
         metrics = state.metrics
         metrics.set_gauge("open_requests", lambda: self._requests.open)
-        metrics.set_gauge("targets", state.directory.count)
+        metrics.set_gauge("targets", state.registry.count)
         metrics.set_gauge("instances", lambda: len(state.list_instances()))
         metrics.set_gauge(
-            "instances_heard", lambda: state.loads.others.count_instances(read_clock())
+            "instances_heard", lambda: state.loads.peer_counts.count_instances(read_clock())
         )
         metrics.set_gauge("ready", lambda: float(state.ready))
         metrics.set_gauge("store_reached", lambda: float(self._follower.store_reached))
@@ -197,8 +197,8 @@
             if away > PAUSE_MARGIN:
                 self.state.metrics.add(codes.PAUSES)
                 self._log("paused", seconds=round(away, 3))
-                self._pool.drop_all()
-                self._peer_pool.drop_all()
+                self._pool.close_all_idle()
+                self._peer_pool.close_all_idle()
                 self._follower.refresh()
 
     async def _tell_places(self) -> None:
@@ -207,15 +207,15 @@
             await self._has_places.wait()
             await asyncio.sleep(PLACES_DELAY)
             self._has_places.clear()
-            places = self.state.placement.places.take_news(read_clock())
+            places = self.state.placement.prompt_locations.pop_updates(read_clock())
             await self._peers.tell(Note(places))
 
     async def _keep_house(self) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL)
             now = read_clock()
-            self._pool.drop_expired(now)
-            self._peer_pool.drop_expired(now)
+            self._pool.close_expired(now)
+            self._peer_pool.close_expired(now)
             self._apply_limits()
             if now - self._settings_read_at >= SETTINGS_INTERVAL:
                 self._reload()
@@ -255,7 +255,7 @@
             ServerLimits(
                 max_header_bytes=limits.max_header_bytes,
                 max_body_bytes=limits.max_body_bytes,
-                max_held_bytes=int(self.settings.memory * HELD_PART),
+                max_buffered_body_bytes=int(self.settings.memory * HELD_PART),
                 head_timeout=limits.header_timeout,
                 idle_timeout=limits.idle_timeout,
                 max_connections=max(64, self.settings.max_descriptors - RESERVED_DESCRIPTORS),
@@ -280,7 +280,7 @@
         killed_at = began + self.settings.stop_grace - STOP_MARGIN
         self.state.stopping = True
         self._log("stopping", open=self._requests.open)
-        self._callers.announce_stop()
+        self._callers.start_draining()
         if self.settings.peers is not None:
             self._spawn(self._follower.instances.leave())
         await asyncio.sleep(min(OUT_OF_ROTATION, self.settings.stop_grace / 3))
--- a/rhubarbbend/gateway/_listening.py
+++ b/rhubarbbend/gateway/_listening.py
@@ -7,11 +7,11 @@
 from typing import Final
 
 from rhubarbbend import codes
-from rhubarbbend.core.delivery import PaceBook
+from rhubarbbend.core.delivery import LatencyTracker
 from rhubarbbend.core.directory import Target
 from rhubarbbend.gateway._requests import OpenRequest
 from rhubarbbend.gateway._state import Clock, State
-from rhubarbbend.http import BodyPatience, Connection, ConnectionPool, HttpFailure
+from rhubarbbend.http import BodyTimeoutPolicy, Connection, ConnectionPool, HttpFailure
 
 # For so long after it took a connection a target is not asked again.
 VOUCHED: Final = 0.5
@@ -55,7 +55,7 @@
         """Give when anything came last from a target that answers are awaited of."""
         if now < self._vouched_until.get(target, -math.inf):
             return now
-        times = (connection.last_received for connection in self._open.get(target, ()))
+        times = (connection.last_received_at for connection in self._open.get(target, ()))
         return max(times, default=-math.inf)
 
     def is_lost(self, target: str) -> bool:
@@ -71,7 +71,7 @@
             question.add_done_callback(lambda _: self._questions.pop(target.id))
 
     async def _ask(self, target: Target) -> None:
-        self._state.metrics.add(codes.SILENT_ASKED)
+        self._state.metrics.add(codes.SILENT_TARGETS_PROBED)
         try:
             connection = await Connection.open(target.address, self._connect_timeout)
         except HttpFailure as failure:
@@ -79,9 +79,9 @@
             if target.id in self._open:
                 self._lost_at[target.id] = now
             # Silence and a connection that is not taken say together what one of them may not.
-            self._state.health.note_unreachable(target.id, now)
+            self._state.health.record_unreachable(target.id, now)
             self._state.note_lost(target, now)
-            self._pool.drop_address(target.address)
+            self._pool.close_idle_to(target.address)
             self._state.journal.write(
                 "silent_target_lost", now, target=target.id, reason=failure.reason
             )
@@ -90,12 +90,12 @@
         if target.id in self._open:
             self._vouched_until[target.id] = now + VOUCHED
         self._lost_at.pop(target.id, None)
-        self._state.health.note_connected(target.id, now)
+        self._state.health.record_connected(target.id, now)
         connection.idle_since = now
-        self._pool.lay(connection)
+        self._pool.add_idle(connection)
 
 
-class StreamPatience(BodyPatience):
+class StreamTimeoutPolicy(BodyTimeoutPolicy):
     """How long one run of a stream is waited for: its first event, then each next one."""
 
     def __init__(
@@ -103,22 +103,22 @@
         request: OpenRequest,
         target: Target,
         listener: TargetListener,
-        paces: PaceBook,
+        latencies: LatencyTracker,
         clock: Clock,
     ) -> None:
         self._relay = request.relay
         self._target = target
         self._listener = listener
-        self._first = paces.choose_first(request.route)
-        self._pause = paces.choose_pause(request.route)
+        self._first = latencies.compute_first_event_timeouts(request.route)
+        self._pause = latencies.compute_pause_timeouts(request.route)
         self._clock = clock
 
-    def extend(self, silence: float) -> float:
+    def compute_remaining_s(self, silence: float) -> float:
         """Give for how many seconds more to wait; 0: not any longer."""
         now = self._clock()
-        patience = self._pause if self._relay.has_begun else self._first
+        timeouts = self._pause if self._relay.has_begun else self._first
         heard_ago = now - self._listener.find_last_heard(self._target.id, now)
-        wait = patience.decide(silence, heard_ago, self._listener.is_lost(self._target.id))
-        if wait.ask:
+        wait = timeouts.decide(silence, heard_ago, self._listener.is_lost(self._target.id))
+        if wait.probe:
             self._listener.ask(self._target)
         return wait.seconds
--- a/tests/trace/test_replay.py
+++ b/tests/trace/test_replay.py
@@ -74,7 +74,9 @@
 ) -> None:
     path = tmp_path / "trace"
     _record(path, steps=300)
-    monkeypatch.setattr("rhubarbbend.core.owners._books.Books.count_load", lambda books: 0)
+    monkeypatch.setattr(
+        "rhubarbbend.core.owners._owned_target.OwnedTarget.count_load", lambda owned: 0
+    )
     assert main(["replay", str(path)]) == 1
     output = capsys.readouterr().out
     assert "the actions differ" in output and "recorded:" in output and "replayed:" in output
@@ -86,7 +88,7 @@
     """The exception that ended a process is recorded, so that a replay can reproduce the fault."""
     path = tmp_path / "trace"
     with monkeypatch.context() as patch:
-        patch.setattr("rhubarbbend.core.owners._books.Books.take_report", None)
+        patch.setattr("rhubarbbend.core.owners._owned_target.OwnedTarget.record_report", None)
         with pytest.raises(TypeError):
             RandomDriver(path, Random(1)).run(1)
         report = replay_trace(path)
