--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes behind fault-injecting proxies."""
+"""Tests that run real processes behind fault-injecting proxies."""
--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -1,4 +1,4 @@
-"""What the tests with real processes share: a small fleet that is ready to serve."""
+"""Start and call a small fleet of real processes; shared by the tests of this and other folders."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def run(work: Callable[[], Awaitable[None]], timeout: float = 90.0) -> None:
-    """Run a test's coroutine with a limit that no passing test comes near."""
+    """Run a test's coroutine with a timeout in seconds, far above what a passing test takes."""
 
-    async def limited() -> None:
+    async def run_limited() -> None:
         async with asyncio.timeout(timeout):
             await work()
 
-    asyncio.run(limited())
+    asyncio.run(run_limited())
 
 
 @asynccontextmanager
@@ -32,28 +32,32 @@
     zones: int = 2,
     instances: int = 1,
     engines: int = 1,
-    plains: int = 1,
+    plain_services: int = 1,
     engine_options: tuple[str, ...] = (),
     plain_options: tuple[str, ...] = (),
     declarations: Path = TENGRI,
     **options: Any,
 ) -> AsyncIterator[Cluster]:
-    """Start a fleet behind proxies, with so many instances and targets in each zone."""
-    names = ZONES[:zones]
-    async with Cluster(folder, names, proxied=True, **options) as cluster:
+    """Start a fleet behind proxies and yield it once every instance and target is ready.
+
+    `instances`, `engines` and `plain_services` are counts per availability zone; `options` are
+    passed to `Cluster`.
+    """
+    zone_names = ZONES[:zones]
+    async with Cluster(folder, zone_names, proxied=True, **options) as cluster:
         await cluster.start_platform()
-        starts: list[Awaitable[Any]] = []
-        for zone in names:
-            letter = zone[-1]
+        startups: list[Awaitable[Any]] = []
+        for zone in zone_names:
+            zone_letter = zone[-1]
             for n in range(1, instances + 1):
-                starts.append(cluster.start_instance(f"entry-{letter}{n}", zone))
+                startups.append(cluster.start_instance(f"entry-{zone_letter}{n}", zone))
             for n in range(1, engines + 1):
-                name = f"engine-{letter}{n}"
-                starts.append(cluster.start_engine(name, zone, "planner", *engine_options))
-            for n in range(1, plains + 1):
-                name = f"booking-{letter}{n}"
-                starts.append(cluster.start_plain(name, zone, "booking", *plain_options))
-        await asyncio.gather(*starts)
+                name = f"engine-{zone_letter}{n}"
+                startups.append(cluster.start_engine(name, zone, "planner", *engine_options))
+            for n in range(1, plain_services + 1):
+                name = f"booking-{zone_letter}{n}"
+                startups.append(cluster.start_plain(name, zone, "booking", *plain_options))
+        await asyncio.gather(*startups)
         await cluster.register()
         await cluster.wait_ready()
         await cluster.apply(declarations)
@@ -62,18 +66,21 @@
 
 
 def make_caller(cluster: Cluster, account: str = "pilgrim-groups") -> Caller:
-    """Make a caller that goes to every instance in turn."""
+    """Return a caller of a client account that sends to every instance in turn."""
     addresses = [node.address for node in cluster.instances.values()]
     return Caller(lambda: addresses, f"{account}-key")
 
 
 async def wait_until(
-    what: str, check: Callable[[], Awaitable[bool]], timeout: float = 15.0
+    description: str, condition: Callable[[], Awaitable[bool]], timeout: float = 15.0
 ) -> float:
-    """Wait until a check holds; gives the seconds it took, fails with `what` if it never does."""
-    started = time.monotonic()
-    while not await check():
-        if time.monotonic() - started > timeout:
-            raise AssertionError(f"not within {timeout} s: {what}")
+    """Poll until a condition holds and return the seconds waited.
+
+    Raise an AssertionError that names `description` after `timeout` seconds.
+    """
+    started_at = time.monotonic()
+    while not await condition():
+        if time.monotonic() - started_at > timeout:
+            raise AssertionError(f"condition not met within {timeout} s: {description}")
         await asyncio.sleep(0.05)
-    return time.monotonic() - started
+    return time.monotonic() - started_at
--- a/tests/fleet/load.py
+++ b/tests/fleet/load.py
@@ -1,4 +1,4 @@
-"""Steady load on a fleet under test, and what the engines say that they ran."""
+"""Generate steady load on a fleet under test and read what its engines ran."""
 
 from __future__ import annotations
 
@@ -18,40 +18,43 @@
 
 
 @attrs.define(slots=True)
-class Load:
-    """Answers of a steady load, in the order in which they came."""
+class LoadResults:
+    """Answers to a steady load, in the order of their arrival."""
 
     answers: list[Answer] = attrs.Factory(list)
 
     @property
-    def good(self) -> int:
-        """How many were whole and right."""
+    def good_count(self) -> int:
+        """Number of answers that are complete and correct."""
         return sum(answer.good for answer in self.answers)
 
-    def count_codes(self) -> dict[str, int]:
-        """Count the refusals by code, and what failed otherwise."""
-        found: dict[str, int] = {}
+    def count_failures(self) -> dict[str, int]:
+        """Count the failed answers by refusal code, or by failure if there is no code."""
+        counts: dict[str, int] = {}
         for answer in self.answers:
             if not answer.good:
-                name = answer.code or answer.failure or "cut"
-                found[name] = found.get(name, 0) + 1
-        return found
+                reason = answer.code or answer.failure or "cut"
+                counts[reason] = counts.get(reason, 0) + 1
+        return counts
 
 
-async def keep_asking(
+async def send_chats_repeatedly(
     caller: Caller,
     address: tuple[str, int] | None,
-    load: Load,
+    results: LoadResults,
     max_tokens: int,
     chat_id: str,
     deadline: float,
 ) -> None:
-    """Ask one request after the other; a refused caller waits a moment as it is told to."""
+    """Send one chat request after another until cancelled, and record the answers.
+
+    After a failed answer, wait 0.05 s before the next request. `deadline` is in seconds.
+    """
     while True:
         chat = Chat(chat_id, MODEL)
         chat.ask("which plots are free by the ghat?")
         answer = await caller.ask_chat(chat, max_tokens, address=address, deadline=deadline)
-        load.answers.append(answer)
+        results.answers.append(answer)
         if not answer.good:
             await asyncio.sleep(0.05)
 
@@ -64,22 +67,24 @@
     max_tokens: int = 20,
     one_chat: bool = True,
     deadline: float = 10.0,
-) -> AsyncIterator[Load]:
-    """Keep so many requests open, the callers spread over the instances.
+) -> AsyncIterator[LoadResults]:
+    """Keep `callers` requests open at once, spread over the instances `nodes`; yield the results.
 
-    With `one_chat` all ask in the same chat, so that every one of them has the same home target
-    and wants to go there.
+    With `one_chat`, all callers send the same chat, so every request has the same home target and
+    is routed there first. `deadline` is in seconds.
     """
-    load = Load()
+    results = LoadResults()
     tasks = []
     for number in range(callers):
         address = nodes[number % len(nodes)].address
-        chat = "hot" if one_chat else f"chat-{number}"
+        chat_id = "hot" if one_chat else f"chat-{number}"
         caller = Caller(lambda: [], f"{account}-key")
-        work = keep_asking(caller, address, load, max_tokens, chat, deadline)
-        tasks.append(asyncio.create_task(work))
+        request_loop = send_chats_repeatedly(
+            caller, address, results, max_tokens, chat_id, deadline
+        )
+        tasks.append(asyncio.create_task(request_loop))
     try:
-        yield load
+        yield results
     finally:
         for task in tasks:
             task.cancel()
@@ -87,54 +92,59 @@
 
 
 def list_engines(cluster: Cluster) -> list[Node]:
-    """List the engines."""
+    """Return the nodes of the engines."""
     return [node for node in cluster.targets.values() if node.kind == "engine"]
 
 
-async def reset_engines(cluster: Cluster) -> None:
-    """Start to count the most that each engine runs afresh."""
+async def reset_max_running(cluster: Cluster) -> None:
+    """Reset the maximum of concurrent requests that each engine has recorded."""
     for node in list_engines(cluster):
         await cluster.ask_admin(node, "reset_max")
 
 
-async def read_stats(cluster: Cluster, node: Node) -> dict[str, int]:
-    """Read an engine's figures."""
+async def read_engine_stats(cluster: Cluster, node: Node) -> dict[str, int]:
+    """Return the statistics that an engine reports."""
     stats: dict[str, int] = await cluster.ask_admin(node, "stats")
     return stats
 
 
-async def read_most(cluster: Cluster) -> dict[str, int]:
-    """Read the most that each engine ran since it was last reset."""
+async def read_max_running(cluster: Cluster) -> dict[str, int]:
+    """Return each engine's maximum of concurrent requests since the last reset, by engine id."""
     return {
-        node.id: (await read_stats(cluster, node))["max_running"] for node in list_engines(cluster)
+        node.id: (await read_engine_stats(cluster, node))["max_running"]
+        for node in list_engines(cluster)
     }
 
 
-def compute_bound(callers: int, engines: int, bound: float = 1.25, floor: int = 2) -> int:
-    """Give what an engine may run while no more than so many requests are open in all."""
-    return max(floor, math.ceil(bound * callers / engines))
+def compute_load_bound(
+    callers: int, engines: int, bound_factor: float = 1.25, min_bound: int = 2
+) -> int:
+    """Return how many requests an engine may run while at most `callers` are open in all."""
+    return max(min_bound, math.ceil(bound_factor * callers / engines))
 
 
-async def find_owners(node: Node) -> dict[str, str]:
-    """Ask an instance who owns each target."""
+async def fetch_owners(node: Node) -> dict[str, str]:
+    """Return the owner of each target as an instance sees it, by target id."""
 
-    def show() -> dict[str, str]:
+    def fetch() -> dict[str, str]:
         address = ("127.0.0.1", node.operator_port)
         with OperatorClient(address, make_operator_key(SECRET)) as client:
             return {view.id: view.owner for view in client.show("targets")}
 
-    return await asyncio.to_thread(show)
+    return await asyncio.to_thread(fetch)
 
 
 def write_declarations(folder: Path, service: str) -> Path:
-    """Write declarations of one service of engines, its accounts and model; gives the folder."""
+    """Write declarations of one engine service, its accounts and model; return their folder."""
     from loadtool._processes import ROOT
 
     text = (ROOT / "examples" / "tengri" / "tengri.toml").read_text("utf-8")
-    declared = folder / "declarations"
-    declared.mkdir()
-    head, _, rest = text.partition('name = "planner"')
-    _, _, tail = rest.partition("[[service]]")
-    body = f'{head}name = "planner"\nkind = "engine"\n{service}\n\n[[service]]{tail}'
-    (declared / "fleet.toml").write_text(body, "utf-8")
-    return declared
+    declarations = folder / "declarations"
+    declarations.mkdir()
+    before, _, after_name = text.partition('name = "planner"')
+    _, _, other_services = after_name.partition("[[service]]")
+    declaration_text = (
+        f'{before}name = "planner"\nkind = "engine"\n{service}\n\n[[service]]{other_services}'
+    )
+    (declarations / "fleet.toml").write_text(declaration_text, "utf-8")
+    return declarations
--- a/tests/fleet/test_answers.py
+++ b/tests/fleet/test_answers.py
@@ -1,4 +1,4 @@
-"""The whole answer to its own request, when connections and answers go wrong on the way."""
+"""Answers are complete and belong to their own request although connections and answers fail."""
 
 from __future__ import annotations
 
@@ -14,92 +14,102 @@
 
 
 def list_engines(cluster: Cluster) -> list[Node]:
-    """List the engines."""
+    """Return the nodes of the engines."""
     return [node for node in cluster.targets.values() if node.kind == "engine"]
 
 
-async def sum_stats(cluster: Cluster, name: str) -> int:
-    """Sum a figure over the engines."""
-    found = [await cluster.ask_admin(node, "stats") for node in list_engines(cluster)]
-    return sum(int(stats[name]) for stats in found)
+async def sum_engine_stat(cluster: Cluster, name: str) -> int:
+    """Return the sum of one statistic over the engines."""
+    all_stats = [await cluster.ask_admin(node, "stats") for node in list_engines(cluster)]
+    return sum(int(stats[name]) for stats in all_stats)
 
 
 def make_chat(name: str) -> Chat:
-    """Make a chat with one question."""
+    """Return a chat with one question."""
     chat = Chat(name, "camp-large")
     chat.ask(f"{name}: which plots are free by the ghat? " * 5)
     return chat
 
 
-async def freeze_targets(cluster: Cluster) -> None:
-    """Let every open connection to a target go silent for good; new ones work."""
+async def freeze_target_connections(cluster: Cluster) -> None:
+    """Make every open connection to a target silent for good; new connections work."""
     for zone in cluster.zones:
         await cluster.set_route_faults(zone, list(cluster.targets.values()), freeze=True)
 
 
-async def wait_for_requests(cluster: Cluster, count: int) -> None:
-    """Wait until the engines have begun so many requests."""
+async def wait_for_started_requests(cluster: Cluster, count: int) -> None:
+    """Wait until the engines have started `count` requests."""
 
-    async def begun() -> bool:
-        return await sum_stats(cluster, "requests") >= count
+    async def have_started() -> bool:
+        return await sum_engine_stat(cluster, "requests") >= count
 
-    await wait_until("the engines have begun", begun)
+    await wait_until("the engines have started the requests", have_started)
 
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_cut_answer_is_resumed_on_the_same_engine(tmp_path: Path, stream: bool) -> None:
-    """The connection is cut in the middle of an answer's body. The rest is asked for at the byte
-    that the caller has reached, over a new connection, from the run that goes on at the engine.
-    The caller gets every byte once and sees nothing of it."""
+    """The connection to the engine breaks in the middle of the body of an answer.
+
+    The instance requests the rest over a new connection, from the byte that the caller has reached,
+    while the run goes on at the engine. The caller gets every byte once and does not notice.
+    """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, zones=1, plains=0) as cluster:
+        async with start_fleet(tmp_path, zones=1, plain_services=0) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
             for number, cut in enumerate((0, 1, 150, 401)):
                 await cluster.set_faults(engine, cut_after=cut)
                 answer = await caller.ask_chat(make_chat(f"cut-{number}"), 20, stream=stream)
                 assert answer.good, answer
-            assert await sum_stats(cluster, "requests") == 4
-            assert await sum_stats(cluster, "resumed") == 4
+            assert await sum_engine_stat(cluster, "requests") == 4
+            assert await sum_engine_stat(cluster, "resumed") == 4
 
     run(work)
 
 
 def test_answer_of_another_request_reaches_no_caller(tmp_path: Path) -> None:
-    """The engine's answer carries another request's id, late or crossed on the way. Its connection
-    is closed, nothing of it reaches the caller, and the caller's own answer is asked for."""
+    """The engine's answer carries the id of another request, as a late or mixed-up answer does.
+
+    The instance closes the connection, passes nothing of that answer on, and requests the caller's
+    own answer again.
+    """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, zones=1, plains=0) as cluster:
+        async with start_fleet(tmp_path, zones=1, plain_services=0) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
             for stream in (True, False):
                 await cluster.set_faults(engine, wrong_id=True)
                 answer = await caller.ask_chat(make_chat(f"own-{stream}"), 10, stream=stream)
                 assert answer.good, answer
-            assert await sum_stats(cluster, "requests") == 2
+            assert await sum_engine_stat(cluster, "requests") == 2
 
     run(work)
 
 
-def test_engine_that_dies_in_a_stream_leaves_a_visible_cut(tmp_path: Path) -> None:
-    """The engine is killed when the caller has had a part of the stream. Another engine would
-    start a different run, so the answer ends with an error event and without its final chunk."""
+def test_engine_killed_mid_stream_leaves_a_visibly_truncated_answer(tmp_path: Path) -> None:
+    """The engine is killed after the caller has received a part of the stream.
+
+    Another engine would start a different run, so the answer ends with an error event and without
+    its final chunk.
+    """
 
     async def work() -> None:
         options = ("--token-time", "0.05")
-        async with start_fleet(tmp_path, zones=1, plains=0, engine_options=options) as cluster:
+        async with start_fleet(
+            tmp_path, zones=1, plain_services=0, engine_options=options
+        ) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
-            asking = asyncio.create_task(caller.ask_chat(make_chat("dying"), 60))
+            pending_answer = asyncio.create_task(caller.ask_chat(make_chat("dying"), 60))
 
-            async def flows() -> bool:
-                return await sum_stats(cluster, "completion_tokens") >= 5
+            async def is_streaming() -> bool:
+                return await sum_engine_stat(cluster, "completion_tokens") >= 5
 
-            await wait_until("the stream flows", flows)
+            await wait_until("the engine streams its answer", is_streaming)
             await engine.process.kill()
-            answer = await asking
+            answer = await pending_answer
             assert not answer.whole and not answer.good, answer
             assert answer.status == 200 and answer.failure
 
@@ -107,44 +117,52 @@
 
 
 @pytest.mark.parametrize("moment", ["idle", "before_head", "in_stream"])
-def test_connections_that_go_silent(tmp_path: Path, moment: str) -> None:
-    """Every open connection to the engine goes silent for good while new ones work: idle ones that
-    the next request takes, one whose answer has not begun, one in the middle of a stream. The run
-    is asked for over a new connection; the caller gets it whole, and the engine runs it once."""
+def test_request_completes_when_connections_go_silent(tmp_path: Path, moment: str) -> None:
+    """Every open connection to the engine goes silent for good while new connections work.
+
+    This hits an idle connection that the next request reuses, one whose answer has not begun, or
+    one in the middle of a stream. The instance requests the run's answer over a new connection: the
+    caller gets it complete, and the engine runs the request once.
+    """
 
     async def work() -> None:
         options = ("--token-time", "0.05") if moment == "in_stream" else ()
-        async with start_fleet(tmp_path, zones=1, plains=0, engine_options=options) as cluster:
+        async with start_fleet(
+            tmp_path, zones=1, plain_services=0, engine_options=options
+        ) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
             assert (await caller.ask_chat(make_chat("warm"), 3)).good
             if moment == "before_head":
                 await cluster.set_faults(engine, stall=1.0)
             if moment == "idle":
-                await freeze_targets(cluster)
-            asking = asyncio.create_task(caller.ask_chat(make_chat("silent"), 40))
+                await freeze_target_connections(cluster)
+            pending_answer = asyncio.create_task(caller.ask_chat(make_chat("silent"), 40))
             if moment != "idle":
-                await wait_for_requests(cluster, 2)
+                await wait_for_started_requests(cluster, 2)
                 if moment == "in_stream":
                     await asyncio.sleep(0.3)
-                await freeze_targets(cluster)
-            answer = await asking
+                await freeze_target_connections(cluster)
+            answer = await pending_answer
             assert answer.good, answer
             assert answer.total < 9.0, answer
-            assert await sum_stats(cluster, "requests") == 2
+            assert await sum_engine_stat(cluster, "requests") == 2
 
     run(work)
 
 
-def test_lookup_on_a_silent_connection(tmp_path: Path) -> None:
-    """A lookup is sent on an idle connection that has gone silent. It is idempotent: asked again
-    over a new connection, it is answered well before its deadline."""
+def test_lookup_on_a_silent_connection_is_retried(tmp_path: Path) -> None:
+    """A lookup is sent on an idle connection that has gone silent.
+
+    A lookup is idempotent, so it is retried over a new connection and answered well before its
+    deadline.
+    """
 
     async def work() -> None:
         async with start_fleet(tmp_path, zones=1, engines=0) as cluster:
             caller = make_caller(cluster)
             assert (await caller.look_up("/booking/plots/1")).good
-            await freeze_targets(cluster)
+            await freeze_target_connections(cluster)
             answer = await caller.look_up("/booking/plots/2")
             assert answer.good, answer
             assert answer.total < 5.0, answer
@@ -152,66 +170,74 @@
     run(work)
 
 
-def test_slow_first_byte_is_not_run_twice(tmp_path: Path) -> None:
-    """The engine reads a long prompt for longer than a silent connection is given. Asked for again
-    beside the old connection, the answer comes from the one run, streamed or whole."""
+def test_slow_first_byte_does_not_run_the_request_twice(tmp_path: Path) -> None:
+    """The engine reads a long prompt for longer than the timeout for a silent connection.
+
+    The instance requests the answer again over a second connection; it comes from the one run,
+    whether streamed or not.
+    """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, zones=1, plains=0) as cluster:
+        async with start_fleet(tmp_path, zones=1, plain_services=0) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
             await cluster.set_faults(engine, stall=3.0)
-            asking = [
+            pending_answers = [
                 caller.ask_chat(make_chat(f"slow-{stream}"), 10, stream=stream)
                 for stream in (True, False)
             ]
-            for answer in await asyncio.gather(*asking):
+            for answer in await asyncio.gather(*pending_answers):
                 assert answer.good, answer
-            assert await sum_stats(cluster, "requests") == 2
-            assert await sum_stats(cluster, "cancelled") == 0
+            assert await sum_engine_stat(cluster, "requests") == 2
+            assert await sum_engine_stat(cluster, "cancelled") == 0
 
     run(work)
 
 
-def test_crossed_answers_under_load(tmp_path: Path) -> None:
-    """Many chats at once while answers are cut, carry wrong ids and connections are frozen. Each
-    caller compares every byte: no answer that looks whole is another one's or is incomplete."""
+def test_no_wrong_answers_under_load_with_faults(tmp_path: Path) -> None:
+    """Many chats run at once while answers are cut, carry wrong ids and connections freeze.
+
+    Each caller compares every byte: no answer that looks complete may be incomplete or belong to
+    another request.
+    """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, zones=2, plains=0) as cluster:
+        async with start_fleet(tmp_path, zones=2, plain_services=0) as cluster:
             callers: list[Caller] = [make_caller(cluster) for _ in range(12)]
-            ending = asyncio.Event()
+            faults_finished = asyncio.Event()
 
-            async def disturb() -> None:
+            async def inject_faults() -> None:
                 for number in range(12):
                     for engine in list_engines(cluster):
                         fault = {"cut_after": 120} if number % 2 else {"wrong_id": True}
                         await cluster.set_faults(engine, **fault)
                     if number % 4 == 3:
-                        await freeze_targets(cluster)
+                        await freeze_target_connections(cluster)
                     await asyncio.sleep(0.2)
-                ending.set()
+                faults_finished.set()
 
-            async def talk(index: int) -> list[bool]:
-                seen: list[bool] = []
-                while not ending.is_set():
-                    chat = make_chat(f"load-{index}-{len(seen)}")
+            async def send_chats(index: int) -> list[bool]:
+                outcomes: list[bool] = []
+                while not faults_finished.is_set():
+                    chat = make_chat(f"load-{index}-{len(outcomes)}")
                     answer = await callers[index].ask_chat(chat, 10, stream=index % 2 == 0)
                     assert not answer.wrong, answer
-                    seen.append(answer.good)
-                return seen
-
-            disturbing = asyncio.create_task(disturb())
-            results = await asyncio.gather(*(talk(index) for index in range(len(callers))))
-            await disturbing
-            good = [one for result in results for one in result]
+                    outcomes.append(answer.good)
+                return outcomes
+
+            fault_task = asyncio.create_task(inject_faults())
+            outcomes_by_caller = await asyncio.gather(
+                *(send_chats(index) for index in range(len(callers)))
+            )
+            await fault_task
+            good = [is_good for outcomes in outcomes_by_caller for is_good in outcomes]
             assert sum(good) >= 0.9 * len(good), f"{sum(good)} of {len(good)}"
 
     run(work)
 
 
-def test_error_event_is_the_last_of_a_cut_stream() -> None:
-    """The documented event parses as JSON, so that a caller's library can show it."""
+def test_error_event_of_a_cut_stream_is_valid_json() -> None:
+    """The documented error event parses as JSON, so a caller's library can show it."""
     from rhubarbbend.shell._callers import STREAM_ERROR
 
     text = (STREAM_ERROR % b"target_failed").decode()
--- a/tests/fleet/test_bound.py
+++ b/tests/fleet/test_bound.py
@@ -1,4 +1,4 @@
-"""No engine carries more than the set multiple of the mean load, as the engines count it."""
+"""No engine runs more than its bound, a multiple of the mean load, by the engines' own count."""
 
 from __future__ import annotations
 
@@ -7,86 +7,102 @@
 import pytest
 
 from tests.fleet.harness import run, start_fleet, wait_until
-from tests.fleet.load import Load, compute_bound, find_owners, read_most, reset_engines, run_load
+from tests.fleet.load import (
+    LoadResults,
+    compute_load_bound,
+    fetch_owners,
+    read_max_running,
+    reset_max_running,
+    run_load,
+)
 
 
 @pytest.mark.parametrize("lag", ["0.1", "2.0"])
 def test_a_hot_chat_does_not_take_its_home_over_the_bound(tmp_path: Path, lag: str) -> None:
-    """Twelve callers ask in one chat, through both instances, and all want its home engine.
+    """Twelve callers send the same chat through both instances; all prefer its home engine.
 
-    Without the bound the home runs all twelve. Reports that lag by two seconds show load that has
-    long gone; taken for load of the present it would keep slots idle, or hide what runs.
+    Without the bound the home engine would run all twelve. Load reports that lag by two seconds
+    show requests that have long ended; treated as present load, they would leave slots idle or hide
+    running requests.
     """
 
     async def work() -> None:
         options = ("--report-lag", lag, "--slots", "16")
         async with start_fleet(
-            tmp_path, zones=1, instances=2, engines=3, plains=0, engine_options=options
+            tmp_path, zones=1, instances=2, engines=3, plain_services=0, engine_options=options
         ) as cluster:
             nodes = list(cluster.instances.values())
             async with run_load(nodes, 12, max_tokens=100) as load:
-                # Past the cold start and the probation of the first owners.
+                # Wait out the engines' slow start and the probation of the first owners.
                 await wait_until("40 answers", lambda: _has_answers(load, 40))
-                await reset_engines(cluster)
+                await reset_max_running(cluster)
                 await wait_until("150 answers", lambda: _has_answers(load, 150))
-            most = await read_most(cluster)
-            # One request may be granted while word of the end of another is on its way.
-            bound = compute_bound(12, 3) + 1
-            print(f"MEASURED lag {lag}: most {most}, bound {bound}, {load.good} good")
-            assert max(most.values()) <= bound
-            assert load.good >= 0.95 * len(load.answers), load.count_codes()
+            max_running = await read_max_running(cluster)
+            # One slot may be granted while the release of another is in transit.
+            bound = compute_load_bound(12, 3) + 1
+            print(
+                f"MEASURED lag {lag}: max running {max_running}, bound {bound}, "
+                f"{load.good_count} good"
+            )
+            assert max(max_running.values()) <= bound
+            assert load.good_count >= 0.95 * len(load.answers), load.count_failures()
 
     run(work)
 
 
-async def _has_answers(load: Load, count: int) -> bool:
+async def _has_answers(load: LoadResults, count: int) -> bool:
     return len(load.answers) >= count
 
 
 def test_two_instances_that_both_own_an_engine_stay_within_its_limit(tmp_path: Path) -> None:
-    """The way between the two instances of a zone is cut; both still reach the engines.
+    """The network between the two instances of a zone is partitioned; both still reach the engines.
 
-    Each takes the other for gone and owns every engine, whose own limit is six. Callers ask for
-    more than that on either side. Granting each from its own books, the two would fill an engine
-    twice.
+    Each considers the other gone and owns every engine, whose own limit is six. Callers of each
+    instance send more requests than that. If each instance granted slots by its own count alone,
+    together they would give an engine twice its limit.
     """
 
     async def work() -> None:
         options = ("--report-lag", "0.3", "--slots", "6")
         async with start_fleet(
-            tmp_path, zones=1, instances=2, engines=2, plains=0, engine_options=options
+            tmp_path, zones=1, instances=2, engines=2, plain_services=0, engine_options=options
         ) as cluster:
             nodes = list(cluster.instances.values())
             async with run_load(nodes, 30, max_tokens=50, one_chat=False) as load:
                 await wait_until("60 answers", lambda: _has_answers(load, 60))
-                await reset_engines(cluster)
+                await reset_max_running(cluster)
                 await cluster.set_route_faults("almaty-a", nodes, blackhole=True)
 
-                async def both_own() -> bool:
-                    owners = [await find_owners(node) for node in nodes]
+                async def both_own_all() -> bool:
+                    owners = [await fetch_owners(node) for node in nodes]
                     return all(
                         set(o.values()) == {n.id} for o, n in zip(owners, nodes, strict=True)
                     )
 
-                took = await wait_until("both own every engine", both_own)
-                answered = len(load.answers)
-                await wait_until("150 more", lambda: _has_answers(load, answered + 150))
-                during = await read_most(cluster)
+                takeover_s = await wait_until("both own every engine", both_own_all)
+                answer_count = len(load.answers)
+                await wait_until("150 more", lambda: _has_answers(load, answer_count + 150))
+                max_running_during = await read_max_running(cluster)
                 await cluster.set_route_faults("almaty-a", nodes, blackhole=False, cut=True)
 
-                async def one_owns() -> bool:
-                    owners = [await find_owners(node) for node in nodes]
+                async def agree_on_owner() -> bool:
+                    owners = [await fetch_owners(node) for node in nodes]
                     return owners[0] == owners[1]
 
-                await wait_until("both name one owner", one_owns)
-                answered = len(load.answers)
-                await wait_until("100 more", lambda: _has_answers(load, answered + 100))
-            most = await read_most(cluster)
-            # The second owner may have as many slots out as a cold target gets, which is one.
+                await wait_until("both name the same owners", agree_on_owner)
+                answer_count = len(load.answers)
+                await wait_until("100 more", lambda: _has_answers(load, answer_count + 100))
+            max_running = await read_max_running(cluster)
+            # The second owner may grant as many slots as a cold target gets, which is one.
             bound = 6 + 1
-            print(f"MEASURED during {during}, after {most}, bound {bound}, seen after {took:.1f} s")
-            print(f"MEASURED {load.good} of {len(load.answers)} good, {load.count_codes()}")
-            assert max(most.values()) <= bound
-            assert load.good >= 0.9 * len(load.answers), load.count_codes()
+            print(
+                f"MEASURED max running during {max_running_during}, after {max_running}, "
+                f"bound {bound}, taken over after {takeover_s:.1f} s"
+            )
+            print(
+                f"MEASURED {load.good_count} of {len(load.answers)} good, {load.count_failures()}"
+            )
+            assert max(max_running.values()) <= bound
+            assert load.good_count >= 0.9 * len(load.answers), load.count_failures()
 
     run(work)
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -1,4 +1,4 @@
-"""A request that crashes each target that runs it, and the innocent requests beside it."""
+"""A request that crashes every target that runs it, and the unrelated requests beside it."""
 
 from __future__ import annotations
 
@@ -12,87 +12,94 @@
 from loadtool._cluster import Node
 from tests.fleet.harness import make_caller, run, start_fleet
 
-WORD = "a word that ends the engine"
-CODE = "request_crashes_targets"
+CRASH_TRIGGER = "a word that ends the engine"
+REFUSAL_CODE = "request_crashes_targets"
 
 
-def make_bad_chat() -> Chat:
-    """Make the chat that crashes engines; its body is the same each time."""
+def make_crashing_chat() -> Chat:
+    """Return the chat that crashes engines; its body is the same each time."""
     chat = Chat("bad", "camp-large")
-    chat.ask(WORD)
+    chat.ask(CRASH_TRIGGER)
     return chat
 
 
-def list_dead(cluster: Cluster) -> list[Node]:
-    """List the engines that have crashed."""
+def list_crashed_targets(cluster: Cluster) -> list[Node]:
+    """Return the nodes of the engines that have crashed."""
     return [node for node in cluster.targets.values() if not node.process.running]
 
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_crashing_request_is_refused_after_the_second_crash(tmp_path: Path, stream: bool) -> None:
-    """A request crashes the engine that runs it and then a second one: if its answer had begun it
-    is cut and the caller sends it again through another instance, else it is tried elsewhere at
-    once. Then its caller is told, by every instance; no third engine falls, also when the two are
-    back. The chats beside it are never refused for it: those
-    whose answer had begun are cut visibly, the others run elsewhere."""
+    """A request crashes the engine that runs it and then a second one.
+
+    If its answer had begun, it is cut and the caller sends it again through another instance;
+    otherwise it is retried on another engine at once. Then every instance refuses it, and no third
+    engine crashes, even after the two have restarted. The chats beside it are never refused because
+    of it: those whose answer had begun are cut visibly, the others run on another engine.
+    """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, engines=2, plains=0) as cluster:
+        async with start_fleet(tmp_path, engines=2, plain_services=0) as cluster:
             caller = make_caller(cluster)
             for engine in cluster.targets.values():
-                await cluster.set_faults(engine, crash_on=WORD)
-            ending = asyncio.Event()
+                await cluster.set_faults(engine, crash_on=CRASH_TRIGGER)
+            crashes_checked = asyncio.Event()
 
-            async def talk(index: int) -> list[Answer]:
-                told: list[Answer] = []
-                while not ending.is_set():
+            async def send_chats(index: int) -> list[Answer]:
+                chat_answers: list[Answer] = []
+                while not crashes_checked.is_set():
                     chat = Chat(f"good-{index}", "camp-large")
-                    chat.ask(f"{index} {len(told)}: which plots are free?")
-                    told.append(await caller.ask_chat(chat, 10))
-                return told
+                    chat.ask(f"{index} {len(chat_answers)}: which plots are free?")
+                    chat_answers.append(await caller.ask_chat(chat, 10))
+                return chat_answers
 
-            talking = [asyncio.create_task(talk(index)) for index in range(6)]
+            chat_tasks = [asyncio.create_task(send_chats(index)) for index in range(6)]
             await asyncio.sleep(0.5)
             for _ in range(3):
-                first = await caller.ask_chat(make_bad_chat(), 40, stream=stream)
-                assert not first.good
-                if first.code:
+                refusal = await caller.ask_chat(make_crashing_chat(), 40, stream=stream)
+                assert not refusal.good
+                if refusal.code:
                     break
-            assert (first.status, first.code) == (422, CODE), first
-            dead = list_dead(cluster)
-            assert len(dead) == 2, dead
+            assert (refusal.status, refusal.code) == (422, REFUSAL_CODE), refusal
+            crashed = list_crashed_targets(cluster)
+            assert len(crashed) == 2, crashed
             for node in cluster.instances.values():
-                again = await caller.ask_chat(
-                    make_bad_chat(), 40, stream=stream, address=node.address
+                repeat = await caller.ask_chat(
+                    make_crashing_chat(), 40, stream=stream, address=node.address
                 )
-                assert (again.status, again.code) == (422, CODE), again
-                assert again.total < 0.5, again
-            for node in dead:
+                assert (repeat.status, repeat.code) == (422, REFUSAL_CODE), repeat
+                assert repeat.total < 0.5, repeat
+            for node in crashed:
                 await cluster.restart_target(node)
-                await cluster.set_faults(node, crash_on=WORD)
+                await cluster.set_faults(node, crash_on=CRASH_TRIGGER)
             await cluster.wait_targets()
             for node in cluster.instances.values():
-                again = await caller.ask_chat(
-                    make_bad_chat(), 40, stream=stream, address=node.address
+                repeat = await caller.ask_chat(
+                    make_crashing_chat(), 40, stream=stream, address=node.address
                 )
-                assert again.code == CODE, again
-            ending.set()
-            told = [answer for answers in await asyncio.gather(*talking) for answer in answers]
-            assert not list_dead(cluster)
-            assert not [answer for answer in told if answer.code == CODE]
-            assert not [answer for answer in told if answer.wrong]
-            good = sum(answer.good for answer in told)
-            assert good >= 0.9 * len(told), f"{good} of {len(told)}"
+                assert repeat.code == REFUSAL_CODE, repeat
+            crashes_checked.set()
+            chat_answers = [
+                answer for answers in await asyncio.gather(*chat_tasks) for answer in answers
+            ]
+            assert not list_crashed_targets(cluster)
+            assert not [answer for answer in chat_answers if answer.code == REFUSAL_CODE]
+            assert not [answer for answer in chat_answers if answer.wrong]
+            good_count = sum(answer.good for answer in chat_answers)
+            assert good_count >= 0.9 * len(chat_answers), f"{good_count} of {len(chat_answers)}"
 
     run(work)
 
 
-def test_partition_blames_no_request(tmp_path: Path) -> None:
-    """The ways from a zone to the engines go silent with requests in flight, twice. The engines
-    are well, so nobody is told that a request crashed them; afterwards it runs."""
+def test_partition_does_not_mark_a_request_as_crashing(tmp_path: Path) -> None:
+    """The network from a zone to the engines goes silent with requests in flight, twice.
+
+    The engines are healthy, so no caller is told that its request crashed them, and the request
+    runs afterwards.
+    """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, zones=1, engines=2, plains=0) as cluster:
+        async with start_fleet(tmp_path, zones=1, engines=2, plain_services=0) as cluster:
             caller = make_caller(cluster)
             engines = list(cluster.targets.values())
             (zone,) = cluster.zones
@@ -101,11 +108,11 @@
             for _ in range(2):
                 chat = Chat("one", "camp-large")
                 chat.ask("which plots are free?")
-                asking = asyncio.create_task(caller.ask_chat(chat, 10, deadline=3.0))
+                pending_answer = asyncio.create_task(caller.ask_chat(chat, 10, deadline=3.0))
                 await asyncio.sleep(0.3)
                 await cluster.set_route_faults(zone, engines, blackhole=True, cut=True)
-                answer = await asking
-                assert answer.code != CODE, answer
+                answer = await pending_answer
+                assert answer.code != REFUSAL_CODE, answer
                 await cluster.set_route_faults(zone, engines, blackhole=False)
                 await cluster.wait_targets()
             for engine in engines:
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: chats and commands served by separate processes from one end to the other."""
+"""End-to-end path: separate processes serve chats and commands from caller to target."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tests.fleet.harness import make_caller, run, start_fleet
 
 
-def test_serves_chats_and_commands(tmp_path: Path) -> None:
+def test_chats_and_commands_are_served_end_to_end(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path) as cluster:
             caller = make_caller(cluster)
             chat = Chat("c1", "camp-large")
-            before = 0
+            previous_tokens = 0
             for stream in (True, False, True):
                 chat.ask("which plots are free by the ghat? " * 20)
                 answer = await caller.ask_chat(chat, 12, stream=stream)
                 assert answer.good, answer
-                # The ticket led the turn to the engine that read the turns before.
-                # All of them, but for the block that the engine's cache had not filled.
-                assert answer.cached_tokens > before - BLOCK_CHARS // CHARS_PER_TOKEN
-                before = answer.prompt_tokens
-            booked = await caller.send_command("/booking/bookings", "k1", b'{"plot": 1}')
-            assert booked.good and booked.verdict == "ran", booked
-            again = await caller.send_command("/booking/bookings", "k1", b'{"plot": 1}')
-            assert again.good and again.replayed, again
+                # The ticket routed this turn to the engine that ran the previous turns. It has all
+                # their tokens cached except those of the last, incomplete block.
+                assert answer.cached_tokens > previous_tokens - BLOCK_CHARS // CHARS_PER_TOKEN
+                previous_tokens = answer.prompt_tokens
+            first_answer = await caller.send_command("/booking/bookings", "k1", b'{"plot": 1}')
+            assert first_answer.good and first_answer.verdict == "ran", first_answer
+            replayed_answer = await caller.send_command("/booking/bookings", "k1", b'{"plot": 1}')
+            assert replayed_answer.good and replayed_answer.replayed, replayed_answer
             assert cluster.read_runs() == {"k1": 1}
 
     run(work)
--- a/tests/fleet/test_stop.py
+++ b/tests/fleet/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops with real processes under load."""
+"""Planned stops of real instances under load."""
 
 from __future__ import annotations
 
@@ -13,38 +13,39 @@
 from loadtool._balancer import Balancer
 from rhubarbbend.http import Connection
 from tests.fleet.harness import ZONES, make_caller, run, start_fleet
-from tests.fleet.views import connect, keep_loaded
+from tests.fleet.views import make_operator_client, run_mixed_load
 
-# What the fleet gives a balancer to notice; the test's own notices within 0.7 s.
-LAG = 1.0
-SETTINGS = f"balancer_lag = {LAG}"
+# How long a stopping instance waits for the balancer to notice; the balancer of this test notices
+# within 0.7 s.
+BALANCER_LAG_S = 1.0
+SETTINGS = f"balancer_lag = {BALANCER_LAG_S}"
 
 
-async def wait_end(node: Node, timeout: float) -> int:
-    """Wait for a process to end; gives its exit status."""
+async def wait_for_exit(node: Node, timeout: float) -> int:
+    """Wait for a process to exit and return its exit status."""
     return await asyncio.wait_for(node.process.process.wait(), timeout)
 
 
-async def replace(cluster: Cluster, node: Node) -> float:
-    """Start another instance in a node's place, then stop it; gives the seconds the stop took."""
-    fresh = await cluster.start_instance(f"{node.id}-new", node.zone)
-    await cluster.register(fresh)
-    await cluster.wait_ready(fresh)
-    started = time.monotonic()
+async def replace_instance(cluster: Cluster, node: Node) -> float:
+    """Start a replacement of an instance, stop the old one and return the stop's seconds."""
+    replacement = await cluster.start_instance(f"{node.id}-new", node.zone)
+    await cluster.register(replacement)
+    await cluster.wait_ready(replacement)
+    stop_started_at = time.monotonic()
     node.process.send(signal.SIGTERM)
-    assert await wait_end(node, 20.0) == 0
-    took = time.monotonic() - started
+    assert await wait_for_exit(node, 20.0) == 0
+    stop_duration_s = time.monotonic() - stop_started_at
     del cluster.instances[node.id]
     await cluster.unregister(node)
-    return took
+    return stop_duration_s
 
 
-def test_a_rolling_replacement_cuts_and_refuses_nothing(tmp_path: Path) -> None:
+def test_rolling_replacement_cuts_and_refuses_no_answer(tmp_path: Path) -> None:
     """Every instance is replaced, one after the other, under chats, long answers and bookings.
 
-    A stopping instance still gets requests until the balancer notices, and has answers of
-    seconds in flight. Callers see every answer whole and not one refusal, because the targets
-    that it owned are granted by others at once.
+    A stopping instance still gets requests until the balancer notices, and has answers in flight
+    that take seconds. Callers get every answer complete and no refusal, because other instances
+    grant the slots of its targets at once.
     """
 
     async def work() -> None:
@@ -53,53 +54,54 @@
             addresses = lambda: [n.address for n in cluster.instances.values()]  # noqa: E731
             async with Balancer(addresses) as balancer:
                 caller = Caller(balancer.list_ready, "pilgrim-groups-key")
-                stops: list[float] = []
-                async with keep_loaded([caller], chats=2, commands=2) as load:
-                    long = asyncio.create_task(load.run_chats(caller, "long", words=400))
+                stop_durations: list[float] = []
+                async with run_mixed_load([caller], chats=2, commands=2) as load:
+                    long_chats = asyncio.create_task(load.run_chats(caller, "long", max_tokens=400))
                     for node in nodes:
-                        stops.append(await replace(cluster, node))
-                await long
-            assert not load.bad, load.bad[:3]
+                        stop_durations.append(await replace_instance(cluster, node))
+                await long_chats
+            assert not load.failed_answers, load.failed_answers[:3]
             runs = cluster.read_runs()
             assert set(runs.values()) == {1}
-            longest = max(stops)
-            assert longest < LAG + 6.0
+            longest_s = max(stop_durations)
+            assert longest_s < BALANCER_LAG_S + 6.0
             print(
-                f"{len(load.answers)} answers, {len(runs)} bookings, longest stop {longest:.2f} s"
+                f"{len(load.answers)} answers, {len(runs)} bookings, longest stop {longest_s:.2f} s"
             )
 
     run(work)
 
 
-def test_open_connections_get_their_answers(tmp_path: Path) -> None:
-    """One caller reuses its connection while its instance stops, another has a long answer.
+def test_open_connections_get_their_answers_during_a_stop(tmp_path: Path) -> None:
+    """One caller reuses its connection while its instance stops; another waits for a long answer.
 
-    The first is told by "Connection: close" to go elsewhere and gets the answer to what it sent
-    while the instance was draining. Another sends its first request on a connection that was
-    opened before, after the listening socket has closed. A second SIGTERM does not hurry it.
+    The first gets the answer to what it sent while the instance was draining, with "Connection:
+    close" so that it goes to another instance. Another caller sends its first request, after the
+    listening socket has closed, on a connection that was opened before. A second SIGTERM does not
+    speed up the stop.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, zones=1, instances=2, core_settings=SETTINGS) as cluster:
             node, other = cluster.instances.values()
             headers = [("Authorization", "Bearer pilgrim-groups-key")]
-            kept = await Connection.open(node.address, 2.0)
-            assert (await _look_up(kept, headers))[1] != "close"
+            reused = await Connection.open(node.address, 2.0)
+            assert (await _look_up(reused, headers))[1] != "close"
             chat = Chat("long", "camp-large")
             chat.ask("everything about every plot")
             caller = make_caller(cluster)
-            long = asyncio.create_task(caller.ask_chat(chat, 500, address=node.address))
+            long_answer = asyncio.create_task(caller.ask_chat(chat, 500, address=node.address))
             await asyncio.sleep(0.3)
             node.process.send(signal.SIGTERM)
             node.process.send(signal.SIGTERM)
             await asyncio.sleep(0.2)
-            assert await _look_up(kept, headers) == (200, "close")
-            late = await Connection.open(node.address, 2.0)
-            await asyncio.sleep(LAG)
-            # The listening socket is closed by now, this connection was idle and is read still.
-            assert await _look_up(late, headers) == (200, "close")
-            assert (await long).good
-            assert await wait_end(node, 15.0) == 0
+            assert await _look_up(reused, headers) == (200, "close")
+            idle = await Connection.open(node.address, 2.0)
+            await asyncio.sleep(BALANCER_LAG_S)
+            # The listening socket is closed by now; this idle connection is still read.
+            assert await _look_up(idle, headers) == (200, "close")
+            assert (await long_answer).good
+            assert await wait_for_exit(node, 15.0) == 0
             assert (await make_caller(cluster).look_up("/booking/plots/1", other.address)).good
 
     run(work)
@@ -114,39 +116,41 @@
     return response.status, response.headers.get("connection", "")
 
 
-def test_the_last_instance_of_a_zone_hands_over_to_another_zone(tmp_path: Path) -> None:
-    """A zone's only instance stops under load; its targets live on.
+def test_last_instance_of_a_zone_hands_over_to_another_zone(tmp_path: Path) -> None:
+    """The only instance of a zone stops under load while its targets keep running.
 
-    Instances of the other zone hear of it from the stopping one, not from the list that lags, and
-    own its targets before the next request asks for a slot there.
+    The instances of the other zone learn this from the stopping instance, not from the platform's
+    list, which lags, and own its targets before the next request asks for a slot there.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, core_settings=SETTINGS) as cluster:
             nodes = {node.zone: node for node in cluster.instances.values()}
             leaving = nodes[ZONES[1]]
-            stays = nodes[ZONES[0]].address
-            caller = Caller(lambda: [stays], "pilgrim-groups-key")
-            async with keep_loaded([caller], chats=4, commands=1) as load:
+            remaining_address = nodes[ZONES[0]].address
+            caller = Caller(lambda: [remaining_address], "pilgrim-groups-key")
+            async with run_mixed_load([caller], chats=4, commands=1) as load:
                 await asyncio.sleep(0.5)
-                before = time.time()
+                stopped_at = time.time()
                 leaving.process.send(signal.SIGTERM)
-                assert await wait_end(leaving, 10.0) == 0
+                assert await wait_for_exit(leaving, 10.0) == 0
                 await asyncio.sleep(0.5)
-            assert not load.bad, load.bad[:3]
+            assert not load.failed_answers, load.failed_answers[:3]
             engine = next(t for t in cluster.targets.values() if t.id == "engine-b1")
-            last = (await cluster.ask_admin(engine, "stats"))["last_request"]
-            assert last > before + LAG, "the zone's engine got no work after the hand-over"
+            last_request_at = (await cluster.ask_admin(engine, "stats"))["last_request"]
+            assert (
+                last_request_at > stopped_at + BALANCER_LAG_S
+            ), "the engine got no request after the handover"
 
     run(work)
 
 
 @pytest.mark.parametrize("fault", ["outage", "lose_answers"])
-def test_an_operators_call_in_flight_gets_its_answer(tmp_path: Path, fault: str) -> None:
-    """An instance is stopped while it takes an operator's change to a table that does not answer.
+def test_operator_call_in_flight_gets_its_answer_during_a_stop(tmp_path: Path, fault: str) -> None:
+    """An instance stops while it writes an operator's change to a table that does not answer.
 
-    Closed at once, the operator would not know whether the change was accepted. The stop waits
-    for the word of the table, at most as long as the write is repeated.
+    If the connection closed at once, the operator would not know whether the change was accepted.
+    The stop waits for the table's answer, at most for as long as the write is repeated.
     """
 
     async def work() -> None:
@@ -154,21 +158,21 @@
         async with start_fleet(tmp_path, zones=1, instances=2, core_settings=settings) as cluster:
             assert cluster.platform is not None
             node = next(iter(cluster.instances.values()))
-            value: bool | int = True if fault == "outage" else 2
-            await cluster.set_faults(cluster.platform, **{fault: value})
+            fault_value: bool | int = True if fault == "outage" else 2
+            await cluster.set_faults(cluster.platform, **{fault: fault_value})
 
             def send() -> str:
-                with connect(node) as client:
+                with make_operator_client(node) as client:
                     try:
                         items = [("zone", "z", b'{"name": "z"}')]
                         return f"version {client.apply_change('c-1', 'ana', 1, items)}"
                     except Exception as error:
                         return type(error).__name__
 
-            sent = asyncio.create_task(asyncio.to_thread(send))
+            pending_result = asyncio.create_task(asyncio.to_thread(send))
             await asyncio.sleep(0.2)
             node.process.send(signal.SIGTERM)
-            assert await sent == ("OutcomeUnknown" if fault == "outage" else "version 2")
-            assert await wait_end(node, 10.0) == 0
+            assert await pending_result == ("OutcomeUnknown" if fault == "outage" else "version 2")
+            assert await wait_for_exit(node, 10.0) == 0
 
     run(work)
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones and targets out of service with real processes, measured at the targets."""
+"""Zones and targets taken out of service in a fleet of real processes, measured at the targets."""
 
 from __future__ import annotations
 
@@ -11,101 +11,115 @@
 from loadtool import Answer, Chat, Cluster
 from loadtool._cluster import Node
 from tests.fleet.harness import ZONES, make_caller, run, start_fleet, wait_until
-from tests.fleet.views import keep_loaded, read_last_request, set_cut
+from tests.fleet.views import read_last_request_time, run_mixed_load, set_zone_partitioned
 
-# No new work may come later than this after the change was accepted.
-LIMIT = 3.0
-# Engines that fall over when a cold one gets more than two requests at once.
-COLD = ("--cold-requests", "6", "--cold-bears", "2")
+# A target out of service may get new requests for at most this long after the change is accepted.
+LAST_REQUEST_LIMIT_S = 3.0
+# A cold engine falls over when it gets more than two requests at once.
+COLD_OPTIONS = ("--cold-requests", "6", "--cold-bears", "2")
 
 
 def list_targets(cluster: Cluster, zone: str) -> list[Node]:
     return [node for node in cluster.targets.values() if node.zone == zone]
 
 
-async def watch_last(cluster: Cluster, targets: list[Node], since: float) -> float:
-    """Wait until no target has had work for `LIMIT` seconds; gives when the last had it."""
+async def wait_for_last_request(cluster: Cluster, targets: list[Node], accepted_at: float) -> float:
+    """Wait until no target has got a request for `LAST_REQUEST_LIMIT_S` seconds.
 
-    async def quiet() -> bool:
-        last = [await read_last_request(cluster, node) for node in targets]
-        return time.time() > max([*last, since]) + LIMIT
+    Return the seconds from `accepted_at` to the last request of any target.
+    """
+
+    async def is_quiet() -> bool:
+        last_request_times = [await read_last_request_time(cluster, node) for node in targets]
+        return time.time() > max([*last_request_times, accepted_at]) + LAST_REQUEST_LIMIT_S
 
-    await wait_until("the targets get no more work", quiet, 3 * LIMIT)
-    return max([await read_last_request(cluster, node) for node in targets]) - since
+    await wait_until("the targets get no more requests", is_quiet, 3 * LAST_REQUEST_LIMIT_S)
+    return max([await read_last_request_time(cluster, node) for node in targets]) - accepted_at
 
 
-def test_a_zone_goes_out_although_the_platform_goes_down(tmp_path: Path) -> None:
-    """Operators take zone b out while chats and bookings go on at every instance of two zones.
+def test_zone_goes_out_of_service_although_the_platform_goes_down(tmp_path: Path) -> None:
+    """Zone b is taken out of service while chats run at every instance of two zones.
 
     The platform goes down as soon as the change is accepted, so no other instance can read it
-    there. Callers see no error; the targets of zone b get no new work after 3 s. The zone comes
-    back under load after its engines were emptied without a sign, and none of them falls over.
+    there. Callers see no error; after 3 s the targets of zone b get no new requests. The zone
+    returns under load after its engine's cache was emptied without a sign, and the engine does not
+    fall over.
     """
 
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=2, engine_options=COLD) as cluster:
+        async with start_fleet(tmp_path, instances=2, engine_options=COLD_OPTIONS) as cluster:
             assert cluster.platform is not None
             first = next(iter(cluster.instances.values()))
-            out = list_targets(cluster, "almaty-b")
-            engine = next(node for node in out if node.kind == "engine")
+            out_targets = list_targets(cluster, "almaty-b")
+            engine = next(node for node in out_targets if node.kind == "engine")
             caller = make_caller(cluster)
-            async with keep_loaded([caller], chats=4, commands=0) as load:
-                await wait_until("work reaches zone b", lambda: _works(cluster, engine), 10.0)
+            async with run_mixed_load([caller], chats=4, commands=0) as load:
+                await wait_until(
+                    "requests reach zone b", lambda: _has_finished_requests(cluster, engine), 10.0
+                )
                 status, output = await cluster.run_command(
                     "zone", "out", "almaty-b", "--wait", "0", node=first
                 )
-                accepted = time.time()
+                accepted_at = time.time()
                 await cluster.set_faults(cluster.platform, outage=True)
                 assert status == 0, output
-                last = await watch_last(cluster, out, accepted)
-                assert last <= LIMIT
+                last_delay_s = await wait_for_last_request(cluster, out_targets, accepted_at)
+                assert last_delay_s <= LAST_REQUEST_LIMIT_S
                 await cluster.set_faults(cluster.platform, outage=False)
                 await cluster.set_faults(engine, turn_cold=True)
-                before = (await cluster.ask_admin(engine, "stats"))["finished"]
+                finished_before = (await cluster.ask_admin(engine, "stats"))["finished"]
                 status, output = await cluster.run_command("zone", "in", "almaty-b", node=first)
                 assert status == 0 and "in force at all 4 instances" in output, output
 
-                async def refilled() -> bool:
+                async def finishes_requests() -> bool:
                     stats = await cluster.ask_admin(engine, "stats")
-                    return bool(stats["finished"] >= before + 10)
+                    return bool(stats["finished"] >= finished_before + 10)
 
-                await wait_until("zone b is refilled", refilled, 10.0)
+                await wait_until(
+                    "the engine of zone b finishes requests again", finishes_requests, 10.0
+                )
             assert (await cluster.ask_admin(engine, "stats"))["fell_over"] == 0
-            assert not load.bad, load.bad[:3]
-            print(f"last request {last:+.2f} s after acceptance, {len(load.answers)} answers")
+            assert not load.failed_answers, load.failed_answers[:3]
+            print(
+                f"last request {last_delay_s:+.2f} s after acceptance, {len(load.answers)} answers"
+            )
 
     run(work)
 
 
-async def _works(cluster: Cluster, node: Node) -> bool:
+async def _has_finished_requests(cluster: Cluster, node: Node) -> bool:
     return bool((await cluster.ask_admin(node, "stats"))["finished"] >= 4)
 
 
-def test_a_leaving_target_gets_no_new_work(tmp_path: Path) -> None:
-    """The platform's list says that a target leaves, while long answers run there.
+def test_leaving_target_gets_no_new_requests(tmp_path: Path) -> None:
+    """The platform's list marks a target as leaving while long answers run there.
 
-    Callers get those answers whole; after 3 s and the list's lag no instance brings new work.
+    Callers get those answers complete; after 3 s and the list's lag no instance sends new requests.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, instances=2) as cluster:
             caller = make_caller(cluster)
             leaving = [node for node in list_targets(cluster, ZONES[0]) if node.kind == "engine"]
-            async with keep_loaded([caller], chats=4, commands=2) as load:
-                await wait_until("work reaches it", lambda: _works(cluster, leaving[0]), 10.0)
-                long = asyncio.create_task(_ask_long(cluster))
+            async with run_mixed_load([caller], chats=4, commands=2) as load:
+                await wait_until(
+                    "requests reach the leaving target",
+                    lambda: _has_finished_requests(cluster, leaving[0]),
+                    10.0,
+                )
+                long_chats = asyncio.create_task(_send_long_chats(cluster))
                 await cluster.register(*leaving, state="leaving")
-                last = await watch_last(cluster, leaving, time.time())
-                assert last <= LIMIT
-                assert not (bad := await long), bad
-            assert not load.bad, load.bad[:3]
-            print(f"last request {last:+.2f} s after the list said so")
+                last_delay_s = await wait_for_last_request(cluster, leaving, time.time())
+                assert last_delay_s <= LAST_REQUEST_LIMIT_S
+                assert not (incomplete := await long_chats), incomplete
+            assert not load.failed_answers, load.failed_answers[:3]
+            print(f"last request {last_delay_s:+.2f} s after the list marked the target as leaving")
 
     run(work)
 
 
-async def _ask_long(cluster: Cluster) -> list[Answer]:
-    """Ask for answers of some seconds; gives those that are not whole and right."""
+async def _send_long_chats(cluster: Cluster) -> list[Answer]:
+    """Send chats whose answers take some seconds; return the answers that are not good."""
     caller = make_caller(cluster)
     chats = [Chat(f"long-{n}", "camp-large") for n in range(4)]
     for chat in chats:
@@ -115,34 +129,35 @@
 
 
 @pytest.mark.parametrize("cut_before", [0.0, 7.0])
-def test_an_entry_instance_cut_off_from_the_rest_sends_no_work_to_a_zone_that_is_out(
+def test_partitioned_instance_sends_no_requests_to_a_zone_out_of_service(
     tmp_path: Path, cut_before: float
 ) -> None:
-    """Zone b is cut off from the platform and from every instance, but reaches zone a's targets.
+    """Zone b is partitioned from the platform and all other instances but reaches zone a's targets.
 
-    Zone a goes out, at once or some seconds later; the instance of zone b has not heard of it. It
-    has to ask the owner in zone a for a slot, which it cannot reach, and after some seconds takes
-    all instances of zone a for gone. Its callers are served by zone b alone.
+    Zone a goes out of service, at once or some seconds later, and the instance of zone b does not
+    learn of it. The instance has to ask the owner in zone a for a slot, which it cannot reach, and
+    after some seconds considers all instances of zone a gone. Its callers are served by zone b
+    alone.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1) as cluster:
             assert cluster.platform is not None
             nodes = {node.zone: node for node in cluster.instances.values()}
-            await set_cut(cluster, "almaty-b", True)
+            await set_zone_partitioned(cluster, "almaty-b", True)
             targets = list_targets(cluster, "almaty-a")
             await cluster.set_route_faults("almaty-b", targets, blackhole=False)
             await asyncio.sleep(cut_before)
             status, output = await cluster.run_command(
                 "zone", "out", "almaty-a", "--wait", "0.5", node=nodes["almaty-a"]
             )
-            accepted = time.time()
+            accepted_at = time.time()
             assert status == 0 and "in force at 1 of 2 instances; NOT at:" in output, output
             caller = make_caller(cluster)
             caller.pick = lambda: nodes["almaty-b"].address  # type: ignore[method-assign]
-            async with keep_loaded([caller], chats=3, commands=0) as load:
-                last = await watch_last(cluster, targets, accepted)
-            assert last <= LIMIT
+            async with run_mixed_load([caller], chats=3, commands=0) as load:
+                last_delay_s = await wait_for_last_request(cluster, targets, accepted_at)
+            assert last_delay_s <= LAST_REQUEST_LIMIT_S
             assert load.answers
 
     run(work)
