--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -61,7 +61,7 @@
     async def has_run() -> bool:
         return key in cluster.read_runs()
 
-    await wait_until(f"a service has run {key}", has_run)
+    await wait_until(f"{key} has been run by a service", has_run)
 
 
 async def wait_for_claim(cluster: Cluster, key: str) -> None:
@@ -73,7 +73,7 @@
         rows = await cluster.ask_admin(platform, "rows?table=claims")
         return any(row["key"].endswith("/" + key) for row in rows)
 
-    await wait_until(f"the claim of {key} is in the table", is_claimed)
+    await wait_until(f"{key} has a claim in the table", is_claimed)
 
 
 def list_plain_services(cluster: Cluster) -> list[Node]:
--- a/tests/fleet/test_config.py
+++ b/tests/fleet/test_config.py
@@ -156,7 +156,7 @@
             assert time.monotonic() - sent_at < 5.0
             assert await read_config_version(partitioned) == 1
             views = await fetch_view(nodes["almaty-a"], "instances")
-            assert {view.id: view.behind for view in views}[partitioned.id] == 1
+            assert {v.id: v.behind for v in views}[partitioned.id] == 1
             await set_zone_partitioned(cluster, "almaty-c", False)
 
             async def has_caught_up() -> bool:
