--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -37,10 +37,10 @@
 def test_zone_keeps_serving_when_an_owner_is_lost_and_returns(tmp_path: Path, fault: str) -> None:
     """The owner of an engine is killed, or frozen for five seconds and continued, under load.
 
-    Callers use the other two instances. Requests that ask the lost owner for a slot go on to
-    another target after a timeout. Once the owner has been silent long enough, another instance
-    owns the engine and must grant no more than its limit, including what still runs. The frozen
-    owner wakes up and still considers itself the owner.
+    Callers use the other two instances. Requests that ask the lost owner for a slot give up on it
+    after a timeout. Once the owner has been silent long enough, another instance owns the engine
+    and must grant no more than its limit, including what still runs. The frozen owner wakes up and
+    still considers itself the owner.
     """
 
     async def work() -> None:
