--- a/loadtool/__init__.py
+++ b/loadtool/__init__.py
@@ -1,4 +1,8 @@
-"""The measuring tool: runs a fleet of real processes with stand-ins, and callers that check it."""
+"""Load and measurement tool.
+
+It starts a fleet of real processes with stand-ins for the platform, the engines and the plain
+services, sends it requests and checks every answer.
+"""
 
 from loadtool._caller import Answer, Caller, Chat
 from loadtool._cluster import Cluster, Node, Zone
--- a/loadtool/__main__.py
+++ b/loadtool/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one part of the measuring tool."""
+"""Command line of the load and measurement tool: `python -m loadtool COMMAND`."""
 
 from __future__ import annotations
 
@@ -26,21 +26,27 @@
     return _soak.main(options.seed, options.seeds, options.duration, options.size)
 
 
-def _parse() -> argparse.Namespace:
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="loadtool")
-    commands = parser.add_subparsers(dest="what", required=True)
-    commands.add_parser("demo", help="a whole deployment for about 15 s")
-    commands.add_parser("slopes", help="what each role costs at growing sizes")
-    soak = commands.add_parser("soak", help="a randomised run of faults, checked as it runs")
+    commands = parser.add_subparsers(dest="command", required=True)
+    commands.add_parser("demo", help="run a complete deployment for about 15 s")
+    commands.add_parser(
+        "slopes", help="measure how the cost of each role grows with the size of the fleet"
+    )
+    soak = commands.add_parser(
+        "soak", help="inject random faults and check the guarantees meanwhile"
+    )
     soak.add_argument("--on", choices=("platform", "product"), default="platform")
     soak.add_argument("--seed", type=int, default=1)
-    soak.add_argument("--seeds", type=int, default=1, help="so many, one after the other")
-    soak.add_argument("--duration", type=float, default=40.0, help="seconds a seed")
-    soak.add_argument("--size", type=int, default=_soak.DEFAULT_SIZE, help="instances")
+    soak.add_argument(
+        "--seeds", type=int, default=1, help="number of seeds to run, one after the other"
+    )
+    soak.add_argument("--duration", type=float, default=40.0, help="seconds per seed")
+    soak.add_argument("--size", type=int, default=_soak.DEFAULT_SIZE, help="number of instances")
     _commands.add_parsers(commands)
     return parser.parse_args()
 
 
 if __name__ == "__main__":
-    chosen = _parse()
-    sys.exit(COMMANDS[chosen.what](chosen))
+    options = _parse_arguments()
+    sys.exit(COMMANDS[options.command](options))
--- a/loadtool/_analysis.py
+++ b/loadtool/_analysis.py
@@ -1,4 +1,4 @@
-"""Turns what a run has recorded into its result."""
+"""Computes the figures of a run's result from the requests and engine samples it recorded."""
 
 from __future__ import annotations
 
@@ -8,142 +8,165 @@
 from collections.abc import Sequence
 from typing import Final
 
-from loadtool._bound import BoundCount
+from loadtool._bound import ReuseCounts
 from loadtool._caller import Answer
-from loadtool._chats import Sent
+from loadtool._chats import SentRequest
 from loadtool._histograms import Histogram
 from loadtool._results import PhaseResult, Series, ZoneResult
 from loadtool._samples import EngineSample
 from loadtool._scenario import Phase
 from rhubarbbend.core.configuration import Service
 
-BIN_SECONDS: Final = 1.0
-# A request is served well if its first byte came within this; a dip is a bin below the share.
-GOOD_FIRST_BYTE: Final = 3.0
-# About as long as a request runs after its slot was granted.
-MEAN_SECONDS: Final = 2.0
-DIP_SHARE: Final = 0.99
-CHAT_KINDS_EXCLUDED: Final = ("command", "lookup")
+BIN_S: Final = 1.0
+# A request is served well if its answer is right and its first byte arrived within this time.
+MAX_GOOD_FIRST_BYTE_S: Final = 3.0
+# The limit of an engine is computed from the mean loads within this window, which is about as long
+# as a request runs after its slot was granted.
+LIMIT_WINDOW_S: Final = 2.0
+# A bin in which a smaller share of the requests is served well counts as a dip.
+MIN_SERVED_WELL_FRACTION: Final = 0.99
+NON_CHAT_KINDS: Final = ("command", "lookup")
 
 
-def is_served_well(sent: Sent) -> bool:
-    """Whether the caller got its whole, right answer in good time."""
-    return sent.answer.good and sent.answer.first_byte <= GOOD_FIRST_BYTE
+def is_served_well(request: SentRequest) -> bool:
+    """Return whether the caller got its complete, right answer with a timely first byte."""
+    return request.answer.good and request.answer.first_byte <= MAX_GOOD_FIRST_BYTE_S
 
 
 def compute_reuse(samples: Sequence[EngineSample], begin: float, end: float) -> float:
-    """Give the share of prompt tokens that the engines had, between two times."""
+    """Return the share of prompt tokens that engines found in their caches between two times.
+
+    `begin` and `end` are in seconds since the load began.
+    """
     prompt = 0
     cached = 0
     last: dict[str, tuple[int, int]] = {}
     for sample in samples:
-        for name, figures in sample.engines.items():
+        for name, stats in sample.engines.items():
             before = last.get(name, (0, 0))
-            last[name] = (figures.prompt_tokens, figures.cached_tokens)
+            last[name] = (stats.prompt_tokens, stats.cached_tokens)
             if begin <= sample.at < end:
-                prompt += figures.prompt_tokens - before[0]
-                cached += figures.cached_tokens - before[1]
+                prompt += stats.prompt_tokens - before[0]
+                cached += stats.cached_tokens - before[1]
     return cached / prompt if prompt else 0.0
 
 
-def compute_skew(sample: EngineSample, out: set[str]) -> float:
-    """Give the load of the most loaded engine over the mean, of those in service."""
-    loads = [figures.running for name, figures in sample.engines.items() if name not in out]
+def compute_skew(sample: EngineSample, excluded: set[str]) -> float:
+    """Return the load of the most loaded engine divided by the mean load.
+
+    Engines in `excluded` (out of service) are left out.
+    """
+    loads = [stats.running for name, stats in sample.engines.items() if name not in excluded]
     mean = sum(loads) / len(loads) if loads else 0.0
     return max(loads) / mean if mean else 1.0
 
 
-def compute_excesses(samples: Sequence[EngineSample], out: set[str], service: Service) -> list[int]:
-    """Give, for each sample, how far the most loaded engine is above the bound's limit.
+def compute_excesses(
+    samples: Sequence[EngineSample], excluded: set[str], service: Service
+) -> list[int]:
+    """Return, for each sample, by how many requests the most loaded engine exceeds its limit.
 
-    The limit is the owners', worked out from the highest mean of the last seconds: what was
-    granted within the bound is not taken back when the mean falls, and runs on for a while.
+    The limit is the one that the engines' owners apply, computed from the highest mean load of the
+    last LIMIT_WINDOW_S seconds: a slot granted within the limit is not revoked when the mean
+    falls, so its request runs on for a while.
     """
     excesses: list[int] = []
     limits: deque[tuple[float, int]] = deque()
     for sample in samples:
-        loads = [figures.running for name, figures in sample.engines.items() if name not in out]
+        loads = [stats.running for name, stats in sample.engines.items() if name not in excluded]
         if not loads:
             continue
         mean = (sum(loads) + 1) / len(loads)
         limits.append((sample.at, max(service.floor, math.ceil(service.bound * mean))))
-        while limits[0][0] < sample.at - MEAN_SECONDS:
+        while limits[0][0] < sample.at - LIMIT_WINDOW_S:
             limits.popleft()
         excesses.append(max(0, max(loads) - max(limit for _, limit in limits)))
     return excesses
 
 
-def _sum_reuse(answers: Sequence[Answer]) -> float:
-    """Give the share of prompt tokens that engines had, as they say in their answers.
+def _compute_answer_reuse(answers: Sequence[Answer]) -> float:
+    """Return the share of prompt tokens found in caches, as the engines report in their answers.
 
-    Requests count where they began, as in the bound. By the engines' running counts a prompt that
-    waited in a queue would count in a later phase than its turn does in the bound.
+    A request counts in the phase in which it was sent, as in the upper bound of reuse. If the
+    engines' cumulative counts were used instead, a prompt that waited in a queue would count in a
+    later phase than its turn does in the bound.
     """
     prompt = sum(answer.prompt_tokens for answer in answers)
     return sum(answer.cached_tokens for answer in answers) / prompt if prompt else 0.0
 
 
-def describe_phase(
+def compute_phase_result(
     phase: Phase,
-    sent: Sequence[Sent],
+    requests: Sequence[SentRequest],
     samples: Sequence[EngineSample],
-    bound: BoundCount,
-    out: set[str],
+    bound: ReuseCounts,
+    excluded: set[str],
     service: Service,
 ) -> PhaseResult:
-    """Work out the figures of one phase."""
-    chosen = [one for one in sent if phase.begin <= one.at < phase.end]
-    chats = [one for one in chosen if one.kind not in CHAT_KINDS_EXCLUDED]
+    """Compute the figures of one phase.
+
+    `bound` holds the highest possible reuse in the phase; engines in `excluded` (out of service)
+    do not count in the skew and the excess.
+    """
+    phase_requests = [request for request in requests if phase.begin <= request.at < phase.end]
+    chats = [request for request in phase_requests if request.kind not in NON_CHAT_KINDS]
     inside = [sample for sample in samples if phase.begin <= sample.at < phase.end]
-    skews = sorted(compute_skew(sample, out) for sample in inside) or [1.0]
-    excesses = compute_excesses(inside, out, service) or [0]
-    good = [one.answer for one in chats if one.answer.good]
+    skews = sorted(compute_skew(sample, excluded) for sample in inside) or [1.0]
+    excesses = compute_excesses(inside, excluded, service) or [0]
+    good = [request.answer for request in chats if request.answer.good]
     return PhaseResult(
         name=phase.name,
         seconds=phase.end - phase.begin,
-        requests=len(chosen),
-        served=sum(one.answer.good for one in chosen),
-        served_late=sum(one.answer.good and not is_served_well(one) for one in chosen),
-        reuse=_sum_reuse(good),
+        requests=len(phase_requests),
+        served=sum(request.answer.good for request in phase_requests),
+        served_late=sum(
+            request.answer.good and not is_served_well(request) for request in phase_requests
+        ),
+        reuse=_compute_answer_reuse(good),
         reuse_bound=bound.reuse,
         skew_p50=skews[len(skews) // 2],
         skew_p95=skews[int(len(skews) * 0.95)],
         skew_max=skews[-1],
         over_share=sum(excess > 0 for excess in excesses) / len(excesses),
         over_most=max(excesses),
-        first_byte=Histogram(answer.first_byte for answer in good).describe(),
-        gap=Histogram(gap for answer in good for gap in answer.gaps).describe(),
+        first_byte=Histogram(answer.first_byte for answer in good).compute_quantiles(),
+        gap=Histogram(gap for answer in good for gap in answer.gaps).compute_quantiles(),
     )
 
 
-def describe_zone(
+def compute_zone_result(
     zone: str,
     engines: set[str],
-    out_at: float,
-    back_at: float,
-    sent: Sequence[Sent],
+    out_of_service_at: float,
+    in_service_at: float,
+    requests: Sequence[SentRequest],
     samples: Sequence[EngineSample],
 ) -> ZoneResult:
-    """Work out what a zone's exit and return cost."""
-    during = [one for one in sent if one.at >= out_at]
+    """Compute how the exit of a zone and its return affected the service.
+
+    `engines` are those of the zone; times are in seconds since the load began.
+    """
+    during = [request for request in requests if request.at >= out_of_service_at]
     bins: dict[int, list[bool]] = {}
-    for one in during:
-        bins.setdefault(int((one.at - out_at) / BIN_SECONDS), []).append(is_served_well(one))
+    for request in during:
+        bins.setdefault(int((request.at - out_of_service_at) / BIN_S), []).append(
+            is_served_well(request)
+        )
     shares = [sum(flags) / len(flags) for flags in bins.values()]
     return ZoneResult(
         zone=zone,
         lowest_share=min(shares, default=1.0),
-        dip_seconds=BIN_SECONDS * sum(share < DIP_SHARE for share in shares),
-        last_new_work=_find_last_new_work(engines, out_at, back_at, samples),
-        first_work_back=_find_first_work(engines, back_at, samples),
-        lost=sum(not one.answer.good for one in during),
+        dip_seconds=BIN_S * sum(share < MIN_SERVED_WELL_FRACTION for share in shares),
+        last_new_work=_compute_last_new_work(engines, out_of_service_at, in_service_at, samples),
+        first_work_back=_compute_first_work_back(engines, in_service_at, samples),
+        lost=sum(not request.answer.good for request in during),
     )
 
 
-def _list_new_work(
+def _list_new_work_times(
     engines: set[str], samples: Sequence[EngineSample], begin: float, end: float
 ) -> list[float]:
-    """List the sample times in which an engine of a zone was seen to have got new work."""
+    """Return the times of samples between two times that show a new request at an engine."""
     found: list[float] = []
     last: dict[str, float] = {}
     for sample in samples:
@@ -155,43 +178,55 @@
     return found
 
 
-def _find_last_new_work(
-    engines: set[str], out_at: float, back_at: float, samples: Sequence[EngineSample]
+def _compute_last_new_work(
+    engines: set[str],
+    out_of_service_at: float,
+    in_service_at: float,
+    samples: Sequence[EngineSample],
 ) -> float:
-    times = _list_new_work(engines, samples, out_at, back_at)
-    return times[-1] - out_at if times else 0.0
+    times = _list_new_work_times(engines, samples, out_of_service_at, in_service_at)
+    return times[-1] - out_of_service_at if times else 0.0
 
 
-def _find_first_work(engines: set[str], back_at: float, samples: Sequence[EngineSample]) -> float:
-    times = _list_new_work(engines, samples, back_at, math.inf)
-    return times[0] - back_at if times else -1.0
+def _compute_first_work_back(
+    engines: set[str], in_service_at: float, samples: Sequence[EngineSample]
+) -> float:
+    times = _list_new_work_times(engines, samples, in_service_at, math.inf)
+    return times[0] - in_service_at if times else -1.0
 
 
-def make_series(
-    seconds: float, sent: Sequence[Sent], samples: Sequence[EngineSample], out: set[str]
+def compute_series(
+    seconds: float,
+    requests: Sequence[SentRequest],
+    samples: Sequence[EngineSample],
+    excluded: set[str],
 ) -> Series:
-    """Work out the figures of each second."""
+    """Compute the figures of each bin of BIN_S seconds."""
     series = Series()
-    for number in range(math.ceil(seconds / BIN_SECONDS)):
-        begin = number * BIN_SECONDS
-        end = begin + BIN_SECONDS
-        chosen = [one for one in sent if begin <= one.at < end]
-        firsts = [one.answer.first_byte for one in chosen if one.answer.good]
-        skews = [compute_skew(s, out) for s in samples if begin <= s.at < end]
+    for number in range(math.ceil(seconds / BIN_S)):
+        begin = number * BIN_S
+        end = begin + BIN_S
+        bin_requests = [request for request in requests if begin <= request.at < end]
+        first_byte_times = [
+            request.answer.first_byte for request in bin_requests if request.answer.good
+        ]
+        skews = [compute_skew(s, excluded) for s in samples if begin <= s.at < end]
         series.at.append(begin)
         series.reuse.append(compute_reuse(samples, begin, end))
         series.skew.append(max(skews, default=1.0))
-        served = sum(is_served_well(one) for one in chosen)
-        series.served_share.append(served / len(chosen) if chosen else 1.0)
-        series.first_byte_ms.append(statistics.median(firsts) * 1e3 if firsts else 0.0)
+        served = sum(is_served_well(request) for request in bin_requests)
+        series.served_share.append(served / len(bin_requests) if bin_requests else 1.0)
+        series.first_byte_ms.append(
+            statistics.median(first_byte_times) * 1e3 if first_byte_times else 0.0
+        )
     return series
 
 
-def count_failures(sent: Sequence[Sent]) -> dict[str, int]:
-    """Count the requests without a good answer by kind and refusal code or failure."""
+def count_failures(requests: Sequence[SentRequest]) -> dict[str, int]:
+    """Count the requests without a right answer by kind and by refusal code or failure."""
     reasons: Counter[str] = Counter()
-    for one in sent:
-        if not one.answer.good:
-            why = one.answer.code or one.answer.failure or "wrong or cut answer"
-            reasons[f"{one.kind}: {why}"] += 1
+    for request in requests:
+        if not request.answer.good:
+            why = request.answer.code or request.answer.failure or "wrong or cut answer"
+            reasons[f"{request.kind}: {why}"] += 1
     return dict(reasons)
--- a/loadtool/_balancer.py
+++ b/loadtool/_balancer.py
@@ -1,4 +1,4 @@
-"""Picks instances as the platform's balancer would: those whose readiness check succeeds."""
+"""A model of the platform's load balancer: lists the instances whose readiness check succeeds."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 from rhubarbbend.http import ConnectionPool, HttpFailure, fetch
 
-CHECK_INTERVAL: Final = 0.2
-CHECK_TIMEOUT: Final = 0.5
+CHECK_INTERVAL_S: Final = 0.2
+CHECK_TIMEOUT_S: Final = 0.5
 READY_PATH: Final = "/readyz"
 Address = tuple[str, int]
 
 
 class Balancer:
-    """Checks every instance at an interval; use it as a context manager.
+    """Checks the readiness of all instances at an interval; use it as a context manager.
 
-    Invariant: an address is given out until a check of it has failed, as a balancer does.
+    Invariant: an address stays in the list until a check of it has failed, as with the real
+    balancer.
     """
 
     def __init__(self, addresses: Callable[[], list[Address]]) -> None:
@@ -36,12 +37,12 @@
             self._task.cancel()
 
     def list_ready(self) -> list[Address]:
-        """List the instances that were ready at the last check."""
+        """Return the addresses of the instances that were ready at the last check."""
         return self._ready
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(CHECK_INTERVAL)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             await self._check_all()
 
     async def _check_all(self) -> None:
@@ -53,7 +54,7 @@
         now = asyncio.get_running_loop().time()
         try:
             response, _ = await fetch(
-                self._pool, address, "GET", READY_PATH, now, fresh=True, timeout=CHECK_TIMEOUT
+                self._pool, address, "GET", READY_PATH, now, fresh=True, timeout=CHECK_TIMEOUT_S
             )
         except HttpFailure:
             return False
--- a/loadtool/_chats.py
+++ b/loadtool/_chats.py
@@ -1,4 +1,7 @@
-"""The seeded load: returning chats of skewed accounts, lookups and commands."""
+"""The seeded load of a measured run: chats that return, lookups and commands.
+
+Client accounts have unequal shares of the load.
+"""
 
 from __future__ import annotations
 
@@ -15,100 +18,109 @@
 from loadtool._deployments import ChatKind, Deployment
 from standins._engine import CHARS_PER_TOKEN
 
-# So many seconds of a chat's life pass in one second of a run.
-TIME_SCALE: Final = 300.0
-# Most chats return within minutes, the others after hours.
-SOON_SHARE: Final = 0.85
-SOON_SECONDS: Final = (60.0, 900.0)
-LATER_SECONDS: Final = (3_600.0, 10_800.0)
-# Callers lose a ticket now and then.
-TICKET_LOSS: Final = 0.03
-CHAT_DEADLINE: Final = 10.0
-RETRY_PAUSE: Final = 0.5
+# Pauses of chats are shortened by this factor: so many seconds of a chat pass in one second of a
+# run.
+TIME_SCALE_FACTOR: Final = 300.0
+# Most chats return within minutes, the others after hours. The ranges are in seconds before
+# scaling.
+SHORT_PAUSE_FRACTION: Final = 0.85
+SHORT_PAUSE_S: Final = (60.0, 900.0)
+LONG_PAUSE_S: Final = (3_600.0, 10_800.0)
+# Share of turns before which the caller loses the ticket of its chat.
+TICKET_LOSS_FRACTION: Final = 0.03
+CHAT_DEADLINE_S: Final = 10.0
+RETRY_DELAY_S: Final = 0.5
 WORDS: Final = ("tent", "ghat", "ration", "river", "plot", "water", "tower", "field", "gate", "log")
 
 
 @attrs.define(slots=True)
-class Sent:
-    """A request as its caller saw it; `at` in seconds since the load began."""
+class SentRequest:
+    """A request that a caller sent, `at` seconds after the load began, and its answer."""
 
     at: float
     kind: str
     answer: Answer
 
 
-class Load:
-    """All callers of a run. The same seed gives the same chats, pauses and texts."""
+class LoadGenerator:
+    """Sends the requests of all callers of a run.
+
+    The same seed gives the same chats, pauses and texts. The chats start at random times within the
+    first `ramp_s` seconds.
+    """
 
     def __init__(
         self,
         deployment: Deployment,
         addresses: Callable[[], list[Address]],
         seed: int,
-        seconds: float,
-        ramp: float,
+        duration_s: float,
+        ramp_s: float,
     ) -> None:
-        self.sent: list[Sent] = []
-        self.turns: list[ServedTurn] = []
+        self.requests: list[SentRequest] = []
+        self.served_turns: list[ServedTurn] = []
         self.started = time.monotonic()
         self._deployment = deployment
         self._addresses = addresses
         self._seed = seed
-        self._seconds = seconds
-        self._ramp = ramp
+        self._duration_s = duration_s
+        self._ramp_s = ramp_s
 
     def now(self) -> float:
-        """Give the seconds since the load began."""
+        """Return the seconds since the load began."""
         return time.monotonic() - self.started
 
     async def run(self) -> None:
-        """Run every caller until the time is over."""
+        """Send requests until the duration has passed, and wait for their answers."""
         deployment = self._deployment
         self.started = time.monotonic()
         chats = [self._run_chat(number) for number in range(deployment.chats)]
-        commands = self._repeat(deployment.commands_per_second, self._send_command)
-        lookups = self._repeat(deployment.lookups_per_second, self._look_up)
+        commands = self._send_at_rate(deployment.commands_per_second, self._send_command)
+        lookups = self._send_at_rate(deployment.lookups_per_second, self._look_up)
         await asyncio.gather(*chats, commands, lookups)
 
     async def _run_chat(self, number: int) -> None:
         rng = random.Random(f"{self._seed}/chat/{number}")
-        kind = _pick_kind(rng, self._deployment.chat_kinds)
+        kind = _choose_kind(rng, self._deployment.chat_kinds)
         caller = self._make_caller(rng)
         chat = Chat(f"{self._deployment.name}-{self._seed}-{number}", self._deployment.model)
-        await asyncio.sleep(rng.uniform(0.0, self._ramp))
-        while self.now() < self._seconds:
+        await asyncio.sleep(rng.uniform(0.0, self._ramp_s))
+        while self.now() < self._duration_s:
             low, high = kind.question_tokens if chat.turns else kind.history_tokens
-            chat.ask(f"{chat.id} {_write_text(rng, rng.randint(low, high))}")
-            if rng.random() < TICKET_LOSS:
+            chat.ask(f"{chat.id} {_generate_text(rng, rng.randint(low, high))}")
+            if rng.random() < TICKET_LOSS_FRACTION:
                 chat.ticket = ""
-            if not await self._ask(chat, caller, rng.randint(*kind.answer_words), kind.name):
+            if not await self._send_turn(chat, caller, rng.randint(*kind.answer_words), kind.name):
                 chat.messages.pop()
-                await asyncio.sleep(RETRY_PAUSE)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            await asyncio.sleep(min(pick_pause(rng), max(0.0, self._seconds - self.now())))
+            await asyncio.sleep(min(choose_pause(rng), max(0.0, self._duration_s - self.now())))
 
-    async def _ask(self, chat: Chat, caller: Caller, words: int, kind: str) -> bool:
+    async def _send_turn(self, chat: Chat, caller: Caller, words: int, kind: str) -> bool:
         at = self.now()
         length = len(chat.messages)
-        answer = await caller.ask_chat(chat, words, deadline=CHAT_DEADLINE)
-        self.sent.append(Sent(at, kind, answer))
+        answer = await caller.ask_chat(chat, words, deadline=CHAT_DEADLINE_S)
+        self.requests.append(SentRequest(at, kind, answer))
         answer.body = b""
         if answer.good:
-            self.turns.append(ServedTurn(at, chat.id, chat.messages, length))
+            self.served_turns.append(ServedTurn(at, chat.id, chat.messages, length))
         return answer.good
 
     def _make_caller(self, rng: random.Random) -> Caller:
-        """Make a caller of an account; account n is 1/n as large as the first."""
+        """Return a caller of a random account; account n gets 1/n of the load of the first."""
         accounts = self._deployment.accounts
         weights = [1.0 / rank for rank in range(1, len(accounts) + 1)]
         account = rng.choices(accounts, weights)[0]
         return Caller(self._addresses, f"{account}-key")
 
-    async def _repeat(self, rate: float, send: Callable[[int, random.Random], object]) -> None:
+    async def _send_at_rate(
+        self, rate: float, send: Callable[[int, random.Random], object]
+    ) -> None:
+        # The name of the method is part of the seed: renaming it changes the load of every seed.
         rng = random.Random(f"{self._seed}/{send.__name__}")
         open_tasks: set[asyncio.Task[None]] = set()
         number = 0
-        while self.now() < self._seconds:
+        while self.now() < self._duration_s:
             await asyncio.sleep(rng.expovariate(rate))
             number += 1
             work = send(number, rng)
@@ -123,27 +135,27 @@
         at = self.now()
         key = f"command-{self._seed}-{number}"
         answer = await caller.send_command(self._deployment.command_path, key, b"{}")
-        self.sent.append(Sent(at, "command", answer))
+        self.requests.append(SentRequest(at, "command", answer))
 
     async def _look_up(self, number: int, rng: random.Random) -> None:
         caller = self._make_caller(rng)
         at = self.now()
         answer = await caller.look_up(f"{self._deployment.lookup_path}/{number}")
-        self.sent.append(Sent(at, "lookup", answer))
+        self.requests.append(SentRequest(at, "lookup", answer))
 
 
-def pick_pause(rng: random.Random) -> float:
-    """Pick the seconds of a run until a chat returns."""
-    low, high = SOON_SECONDS if rng.random() < SOON_SHARE else LATER_SECONDS
-    return rng.uniform(low, high) / TIME_SCALE
+def choose_pause(rng: random.Random) -> float:
+    """Return a random number of seconds until a chat returns, after scaling."""
+    low, high = SHORT_PAUSE_S if rng.random() < SHORT_PAUSE_FRACTION else LONG_PAUSE_S
+    return rng.uniform(low, high) / TIME_SCALE_FACTOR
 
 
-def _pick_kind(rng: random.Random, kinds: Sequence[ChatKind]) -> ChatKind:
+def _choose_kind(rng: random.Random, kinds: Sequence[ChatKind]) -> ChatKind:
     return rng.choices(kinds, [kind.share for kind in kinds])[0]
 
 
-def _write_text(rng: random.Random, tokens: int) -> str:
-    """Write words that no other chat has, about so many tokens long."""
+def _generate_text(rng: random.Random, tokens: int) -> str:
+    """Return a random text of about this many tokens, which no other chat is likely to share."""
     words: list[str] = []
     left = tokens * CHARS_PER_TOKEN
     while left > 0:
--- a/loadtool/_commands.py
+++ b/loadtool/_commands.py
@@ -1,4 +1,4 @@
-"""The commands behind `make measure`, `make compare` and `make measure-tables`."""
+"""The commands of measured runs, such as `make measure`, `make compare`, `make measure-tables`."""
 
 from __future__ import annotations
 
@@ -12,51 +12,58 @@
 
 from loadtool._deployments import DEPLOYMENTS
 from loadtool._measure import RunOptions, measure
-from loadtool._planning import show_planning
+from loadtool._planning import format_plan_times
 from loadtool._plots import draw_plots
 from loadtool._processes import ROOT
-from loadtool._relay import measure_relay, show_relay
-from loadtool._report import compare, show_markdown, show_run
+from loadtool._relay import format_relay, measure_relay
+from loadtool._report import format_comparison, format_markdown, format_run
 from loadtool._results import RunResult, read_results, write_result
 from rhubarbbend.core.routing import POLICIES
 
 T = TypeVar("T")
 
-RESULTS: Final = ROOT / "results"
-DEFAULT_SECONDS: Final = 40.0
-INTERRUPTED: Final = 130
+RESULTS_FOLDER: Final = ROOT / "results"
+DEFAULT_DURATION_S: Final = 40.0
+INTERRUPTED_EXIT_STATUS: Final = 130
 
 
 def add_parsers(commands: Any) -> None:
-    """Add the commands' options."""
-    one = commands.add_parser("measure", help="run one deployment and write its result")
-    one.add_argument("deployment", choices=sorted(DEPLOYMENTS))
-    one.add_argument("--policy", default="affinity", choices=POLICIES.list_names())
-    one.add_argument("--seed", type=int, default=1)
-    one.add_argument("--seconds", type=float, default=DEFAULT_SECONDS)
-    one.add_argument("--results", type=Path, default=RESULTS)
-    two = commands.add_parser("compare", help="compare two results, or two folders of them")
-    two.add_argument("first", type=Path)
-    two.add_argument("second", type=Path)
-    tables = commands.add_parser("tables", help="run every deployment, policy and seed")
-    tables.add_argument("--deployments", nargs="+", default=sorted(DEPLOYMENTS))
-    tables.add_argument("--policies", nargs="+", default=POLICIES.list_names())
-    tables.add_argument("--seeds", nargs="+", type=int, default=[1, 2, 3])
-    tables.add_argument("--seconds", type=float, default=DEFAULT_SECONDS)
-    tables.add_argument("--jobs", type=int, default=1)
-    tables.add_argument("--results", type=Path, default=RESULTS)
-    commands.add_parser("costs", help="processor time of a routing decision and of a chunk")
-    shown = commands.add_parser("show", help="print the tables of results in markdown")
-    shown.add_argument("--results", type=Path, default=RESULTS)
+    """Add the parsers of the commands and their options."""
+    measure_parser = commands.add_parser("measure", help="run one deployment and write its result")
+    measure_parser.add_argument("deployment", choices=sorted(DEPLOYMENTS))
+    measure_parser.add_argument("--policy", default="affinity", choices=POLICIES.list_names())
+    measure_parser.add_argument("--seed", type=int, default=1)
+    measure_parser.add_argument("--seconds", type=float, default=DEFAULT_DURATION_S)
+    measure_parser.add_argument("--results", type=Path, default=RESULTS_FOLDER)
+    compare_parser = commands.add_parser(
+        "compare", help="compare two results, or two folders of them"
+    )
+    compare_parser.add_argument("first", type=Path)
+    compare_parser.add_argument("second", type=Path)
+    tables_parser = commands.add_parser("tables", help="run every deployment, policy and seed")
+    tables_parser.add_argument("--deployments", nargs="+", default=sorted(DEPLOYMENTS))
+    tables_parser.add_argument("--policies", nargs="+", default=POLICIES.list_names())
+    tables_parser.add_argument("--seeds", nargs="+", type=int, default=[1, 2, 3])
+    tables_parser.add_argument("--seconds", type=float, default=DEFAULT_DURATION_S)
+    tables_parser.add_argument("--jobs", type=int, default=1)
+    tables_parser.add_argument("--results", type=Path, default=RESULTS_FOLDER)
+    commands.add_parser(
+        "costs", help="measure the processor time of a routing decision and of relaying a chunk"
+    )
+    show_parser = commands.add_parser("show", help="print the tables of results in markdown")
+    show_parser.add_argument("--results", type=Path, default=RESULTS_FOLDER)
 
 
 def run_measure(options: argparse.Namespace) -> int:
-    """Run once; write, print and plot the result."""
-    chosen = RunOptions(options.deployment, options.policy, options.seed, options.seconds)
-    result = _run_interruptible(_measure_and_write(chosen, options.results))
+    """Run one measurement; write, print and plot its result.
+
+    Return exit status 1 if an answer was wrong or a command ran twice.
+    """
+    run_options = RunOptions(options.deployment, options.policy, options.seed, options.seconds)
+    result = _run_interruptible(_measure_and_write(run_options, options.results))
     if result is None:
-        return INTERRUPTED
-    print(show_run(result))
+        return INTERRUPTED_EXIT_STATUS
+    print(format_run(result))
     stem = f"{result.deployment}-{result.policy}-{result.seed}"
     for path in draw_plots([result], options.results / "plots", stem):
         print(f"plot {path}")
@@ -64,23 +71,26 @@
 
 
 def run_compare(options: argparse.Namespace) -> int:
-    """Print two sets of results beside each other."""
-    print(compare(read_results(options.first), read_results(options.second)))
+    """Print a comparison of two results or sets of results; return exit status 0."""
+    print(format_comparison(read_results(options.first), read_results(options.second)))
     return 0
 
 
 def run_tables(options: argparse.Namespace) -> int:
-    """Run everything and print the tables in markdown."""
-    chosen = [
+    """Run every chosen deployment, policy and seed; print the tables in Markdown and draw plots.
+
+    Return exit status 1 if an answer was wrong or a command ran twice.
+    """
+    run_options = [
         RunOptions(deployment, policy, seed, options.seconds)
         for seed in options.seeds
         for deployment in options.deployments
         for policy in options.policies
     ]
-    results = _run_interruptible(_run_all(chosen, options.jobs, options.results))
+    results = _run_interruptible(_run_all(run_options, options.jobs, options.results))
     if results is None:
-        return INTERRUPTED
-    print(show_markdown(results))
+        return INTERRUPTED_EXIT_STATUS
+    print(format_markdown(results))
     for deployment in options.deployments:
         first = [r for r in results if r.deployment == deployment and r.seed == options.seeds[0]]
         draw_plots(first, options.results / "plots", deployment)
@@ -88,18 +98,18 @@
 
 
 def run_show(options: argparse.Namespace) -> int:
-    """Print the tables of the results that are there."""
-    print(show_markdown(read_results(options.results)))
+    """Print the tables of stored results in Markdown; return exit status 0."""
+    print(format_markdown(read_results(options.results)))
     return 0
 
 
 def run_costs(options: argparse.Namespace) -> int:
-    """Print the processor time of a routing decision and of relaying a chunk."""
-    print(show_planning())
+    """Measure and print the processor time of a routing decision and of relaying a chunk."""
+    print(format_plan_times())
     result = _run_interruptible(measure_relay())
     if result is None:
-        return INTERRUPTED
-    print(show_relay(result))
+        return INTERRUPTED_EXIT_STATUS
+    print(format_relay(result))
     return 0
 
 
@@ -110,18 +120,18 @@
     return result
 
 
-async def _run_all(chosen: list[RunOptions], jobs: int, folder: Path) -> list[RunResult]:
-    gate = asyncio.Semaphore(jobs)
+async def _run_all(run_options: list[RunOptions], jobs: int, folder: Path) -> list[RunResult]:
+    semaphore = asyncio.Semaphore(jobs)
 
     async def run_one(options: RunOptions) -> RunResult:
-        async with gate:
-            return await _run_apart(options, folder)
+        async with semaphore:
+            return await _run_in_subprocess(options, folder)
 
-    return list(await asyncio.gather(*(run_one(options) for options in chosen)))
+    return list(await asyncio.gather(*(run_one(options) for options in run_options)))
 
 
-async def _run_apart(options: RunOptions, folder: Path) -> RunResult:
-    """Run in a process of its own, so that runs beside it do not share its loop."""
+async def _run_in_subprocess(options: RunOptions, folder: Path) -> RunResult:
+    """Run one measurement in a subprocess, so that concurrent runs do not share an event loop."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         *("-m", "loadtool", "measure", options.deployment),
@@ -141,7 +151,7 @@
 
 
 def _run_interruptible(work: Coroutine[Any, Any, T]) -> T | None:
-    """Run so that Ctrl-C ends it and everything it started; None if it was interrupted."""
+    """Run a coroutine and return its result, or None if SIGINT or SIGTERM cancelled it."""
 
     async def run() -> T:
         task = asyncio.current_task()
--- a/loadtool/_control.py
+++ b/loadtool/_control.py
@@ -1,4 +1,4 @@
-"""Measures what instances spend on control over a window of time."""
+"""Measures the control traffic and the processor use of instances over a time window."""
 
 from __future__ import annotations
 
@@ -15,32 +15,37 @@
 
 CONTROL_PREFIX: Final = "control."
 # Instances send their counters once a second.
-SEND_INTERVAL: Final = 1.0
+COUNTER_INTERVAL_S: Final = 1.0
 
 
 class ControlWindow:
-    """The counters and processor times of instances since the window was opened."""
+    """Measures control traffic and processor time of instances from its creation to `close`."""
 
     def __init__(self, sink: CounterSink, instances: Sequence[Node]) -> None:
         self._sink = sink
         self._instances = instances
         self._opened = time.monotonic()
         self._counters = self._read_counters()
-        self._times = self._read_times()
+        self._processor_times = self._read_processor_times()
 
     def close(self) -> ControlResult:
-        """Give the mean cost of an instance over the window, and the highest share of a core."""
+        """Return the mean cost of an instance, and the highest share of a core that one used.
+
+        Traffic is in bytes per second by kind.
+        """
         seconds = time.monotonic() - self._opened
         count = len(self._instances)
-        spent = self._read_counters()
-        spent.subtract(self._counters)
+        counted = self._read_counters()
+        counted.subtract(self._counters)
         shares = [
             (after - before) / seconds
-            for before, after in zip(self._times, self._read_times(), strict=True)
+            for before, after in zip(
+                self._processor_times, self._read_processor_times(), strict=True
+            )
         ]
         rates = {
             name.removeprefix(CONTROL_PREFIX): total / seconds / count
-            for name, total in spent.items()
+            for name, total in counted.items()
         }
         return ControlResult(rates, sum(shares) / count, max(shares))
 
@@ -48,15 +53,15 @@
         total = self._sink.sum_all()
         return Counter({k: v for k, v in total.items() if k.startswith(CONTROL_PREFIX)})
 
-    def _read_times(self) -> list[float]:
+    def _read_processor_times(self) -> list[float]:
         return [read_processor_time(node.process.pid) for node in self._instances]
 
 
-async def measure_idle(
+async def measure_idle_control(
     sink: CounterSink, instances: Sequence[Node], seconds: float
 ) -> ControlResult:
-    """Measure a fleet that has no callers: all that it does is control."""
-    await asyncio.sleep(SEND_INTERVAL)
+    """Measure a fleet without callers for some seconds: all its work is control."""
+    await asyncio.sleep(COUNTER_INTERVAL_S)
     window = ControlWindow(sink, instances)
     await asyncio.sleep(seconds)
     return window.close()
--- a/loadtool/_counters.py
+++ b/loadtool/_counters.py
@@ -1,4 +1,4 @@
-"""A statsd sink: sums the counters that the instances send over UDP."""
+"""A statsd server that sums the counters which instances send over UDP."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class CounterSink(asyncio.DatagramProtocol):
-    """Counters by instance and name."""
+    """Receives statsd datagrams and sums their counters by instance and name."""
 
     def __init__(self) -> None:
         self.by_instance: dict[str, Counter[str]] = {}
 
     def datagram_received(self, data: bytes, address: object) -> None:
-        """Add the counters of one datagram."""
+        """Add the counters of one datagram; lines of other kinds and invalid ones are ignored."""
         for line in data.decode("ascii", "replace").splitlines():
             name, _, rest = line.removeprefix(PREFIX).partition(":")
             value, _, kind = rest.partition("|")
@@ -26,7 +26,7 @@
                 self.by_instance.setdefault(instance, Counter())[counter] += int(value)
 
     def sum_all(self) -> Counter[str]:
-        """Sum the counters of every instance."""
+        """Return the counters by name, summed over all instances."""
         total: Counter[str] = Counter()
         for counters in self.by_instance.values():
             total.update(counters)
@@ -34,7 +34,7 @@
 
 
 async def open_sink(host: str) -> tuple[CounterSink, int]:
-    """Listen on a free UDP port; gives the sink and the port."""
+    """Listen on a free UDP port of a host; return the sink and the port."""
     loop = asyncio.get_running_loop()
     transport, sink = await loop.create_datagram_endpoint(CounterSink, local_addr=(host, 0))
     return sink, int(transport.get_extra_info("sockname")[1])
--- a/loadtool/_demo.py
+++ b/loadtool/_demo.py
@@ -1,4 +1,4 @@
-"""`make demo`: the Tengri deployment on one machine, with returning chats and bookings."""
+"""`make demo`: runs the Tengri deployment on one machine with chats and bookings."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from loadtool._processes import ROOT
 
 ZONES: Final = ["almaty-a", "almaty-b", "almaty-c"]
-SECONDS: Final = 15.0
-CHATS: Final = 60
-WORKERS: Final = 24
-BOOKINGS: Final = 120
+DURATION_S: Final = 15.0
+CHAT_COUNT: Final = 60
+CHAT_WORKERS: Final = 24
+BOOKING_COUNT: Final = 120
 SEED: Final = 7
 
 
 @attrs.define(slots=True)
-class Tally:
-    """What the callers saw."""
+class AnswerStats:
+    """Counts of the answers that all callers got, with their times to the first byte in seconds."""
 
     requests: int = 0
     whole: int = 0
     wrong: int = 0
     refused: dict[str, int] = attrs.Factory(dict)
     failed: dict[str, int] = attrs.Factory(dict)
-    first_bytes: list[float] = attrs.Factory(list)
+    first_byte_times: list[float] = attrs.Factory(list)
     prompt_tokens: int = 0
     cached_tokens: int = 0
     bookings: int = 0
 
-    def add(self, answer: Answer) -> None:
-        """Count one answer."""
+    def record_answer(self, answer: Answer) -> None:
+        """Record one answer."""
         self.requests += 1
         self.whole += answer.good
         self.wrong += answer.wrong
         if answer.good:
-            self.first_bytes.append(answer.first_byte)
+            self.first_byte_times.append(answer.first_byte)
             self.prompt_tokens += answer.prompt_tokens
             self.cached_tokens += answer.cached_tokens
         elif answer.code:
@@ -68,9 +68,9 @@
     await cluster.wait_targets()
 
 
-async def _run_chats(tally: Tally, caller: Caller, seed: int, until: float) -> None:
+async def _run_chats(stats: AnswerStats, caller: Caller, seed: int, until: float) -> None:
     rng = random.Random(seed)
-    chats = [Chat(f"chat-{seed}-{i}", "camp-large") for i in range(CHATS // WORKERS + 1)]
+    chats = [Chat(f"chat-{seed}-{i}", "camp-large") for i in range(CHAT_COUNT // CHAT_WORKERS + 1)]
     while time.monotonic() < until:
         chat = rng.choice(chats)
         if not chat.messages:
@@ -78,33 +78,33 @@
         else:
             chat.ask(f"and what of day {chat.turns}?")
         answer = await caller.ask_chat(chat, rng.randrange(4, 40), stream=rng.random() < 0.8)
-        tally.add(answer)
+        stats.record_answer(answer)
         if not answer.good:
             chat.messages.pop()
         await asyncio.sleep(rng.uniform(0.05, 0.4))
 
 
-async def _run_bookings(tally: Tally, caller: Caller, until: float) -> None:
+async def _run_bookings(stats: AnswerStats, caller: Caller, until: float) -> None:
     rng = random.Random(SEED)
-    for number in range(BOOKINGS):
+    for number in range(BOOKING_COUNT):
         if time.monotonic() >= until:
             return
         key = f"plot-{number}"
         body = b'{"plot": %d}' % number
-        # Some callers send a booking twice at once, as an impatient desk does.
+        # Some bookings are sent twice at once, as by a user who clicks twice.
         copies = 2 if rng.random() < 0.2 else 1
         sent = [caller.send_command("/booking/bookings", key, body) for _ in range(copies)]
         for answer in await asyncio.gather(*sent):
-            tally.add(answer)
-            tally.bookings += 1
-        tally.add(await caller.look_up(f"/booking/plots/{number}"))
+            stats.record_answer(answer)
+            stats.bookings += 1
+        stats.record_answer(await caller.look_up(f"/booking/plots/{number}"))
         await asyncio.sleep(0.05)
 
 
-async def _show_progress(tally: Tally, until: float) -> None:
+async def _show_progress(stats: AnswerStats, until: float) -> None:
     while time.monotonic() < until:
         left = until - time.monotonic()
-        line = f"  {left:4.0f} s left: {tally.requests} requests, {tally.whole} whole answers"
+        line = f"  {left:4.0f} s left: {stats.requests} requests, {stats.whole} whole answers"
         if sys.stdout.isatty():
             print(f"\r{line}", end="", flush=True)
         else:
@@ -112,55 +112,58 @@
         await asyncio.sleep(3.0 if not sys.stdout.isatty() else 0.5)
 
 
-def _print_table(tally: Tally, runs: dict[str, int]) -> None:
-    first = sorted(tally.first_bytes) or [0.0]
-    reuse = tally.cached_tokens / max(1, tally.prompt_tokens)
+def _print_table(stats: AnswerStats, runs: dict[str, int]) -> None:
+    first_byte_times = sorted(stats.first_byte_times) or [0.0]
+    reuse = stats.cached_tokens / max(1, stats.prompt_tokens)
     rows = [
-        ("requests", str(tally.requests)),
-        ("whole answers", str(tally.whole)),
-        ("bookings sent", str(tally.bookings)),
+        ("requests", str(stats.requests)),
+        ("whole answers", str(stats.whole)),
+        ("bookings sent", str(stats.bookings)),
         ("bookings run", str(len(runs))),
         ("prompt tokens from cache", f"{reuse:.0%}"),
-        ("first byte, median", f"{first[len(first) // 2] * 1000:.1f} ms"),
-        ("first byte, 95 in 100", f"{first[int(len(first) * 0.95)] * 1000:.1f} ms"),
+        ("first byte, median", f"{first_byte_times[len(first_byte_times) // 2] * 1000:.1f} ms"),
+        (
+            "first byte, 95 in 100",
+            f"{first_byte_times[int(len(first_byte_times) * 0.95)] * 1000:.1f} ms",
+        ),
     ]
-    rows.extend((f"refused: {code}", str(count)) for code, count in tally.refused.items())
-    rows.extend((f"failed: {why}", str(count)) for why, count in tally.failed.items())
+    rows.extend((f"refused: {code}", str(count)) for code, count in stats.refused.items())
+    rows.extend((f"failed: {why}", str(count)) for why, count in stats.failed.items())
     print()
     for name, value in rows:
         print(f"  {name:28} {value:>10}")
 
 
 async def run_demo() -> int:
-    """Run the demo; gives the exit status."""
+    """Run the demo; return exit status 0 if all answers were right and no booking ran twice."""
     with tempfile.TemporaryDirectory(prefix="rhubarbbend-demo-") as name:
         print("starting a platform, 6 instances in 3 zones, 6 engines, 3 booking services")
         async with Cluster(Path(name), ZONES) as cluster:
             await _start(cluster)
-            return await _drive(cluster)
+            return await _run_callers(cluster)
 
 
-async def _drive(cluster: Cluster) -> int:
-    tally = Tally()
+async def _run_callers(cluster: Cluster) -> int:
+    stats = AnswerStats()
     addresses: list[Address] = [node.address for node in cluster.instances.values()]
     chats = Caller(lambda: addresses, "pilgrim-groups-key")
     bookings = Caller(lambda: addresses, "mela-desk-key")
-    until = time.monotonic() + SECONDS
-    work = [_run_chats(tally, chats, SEED + i, until) for i in range(WORKERS)]
-    await asyncio.gather(*work, _run_bookings(tally, bookings, until), _show_progress(tally, until))
+    until = time.monotonic() + DURATION_S
+    work = [_run_chats(stats, chats, SEED + i, until) for i in range(CHAT_WORKERS)]
+    await asyncio.gather(*work, _run_bookings(stats, bookings, until), _show_progress(stats, until))
     runs = cluster.read_runs()
-    twice = sum(count > 1 for count in runs.values())
-    _print_table(tally, runs)
+    run_twice = sum(count > 1 for count in runs.values())
+    _print_table(stats, runs)
     print(
-        f"demo: {tally.requests} requests, {tally.whole} whole answers, "
-        f"{tally.wrong} wrong, {twice} run twice"
+        f"demo: {stats.requests} requests, {stats.whole} whole answers, "
+        f"{stats.wrong} wrong, {run_twice} run twice"
     )
-    held = tally.whole == tally.requests and tally.requests > 0
-    return 0 if held and tally.wrong == 0 and twice == 0 else 1
+    passed = stats.whole == stats.requests and stats.requests > 0
+    return 0 if passed and stats.wrong == 0 and run_twice == 0 else 1
 
 
 def main() -> int:
-    """Run the demo so that Ctrl-C ends it and everything it started."""
+    """Run the demo and return its exit status; Ctrl-C also ends the processes it started."""
 
     async def run() -> int:
         task = asyncio.current_task()
--- a/loadtool/_deployments.py
+++ b/loadtool/_deployments.py
@@ -1,4 +1,4 @@
-"""The measured deployments: zones, services, accounts, latencies and kinds of chats."""
+"""The measured deployments: their zones, services, accounts, latencies and kinds of chats."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class ChatKind(msgspec.Struct, frozen=True):
-    """A kind of chat: its share of all chats, and ranges of tokens and answer words."""
+    """A kind of chat, with its share of all chats.
+
+    The first message of a chat has a length in the range `history_tokens`, each further one in
+    `question_tokens`. An answer has a number of words in the range `answer_words`.
+    """
 
     name: str
     share: float
@@ -21,7 +25,14 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """One deployment at its size of today; latencies are one way, in seconds."""
+    """One deployment at its present size.
+
+    `instances`, `engines` and `plains` are numbers of processes; plains are targets of
+    `plain_service`, which is not a model engine. `zone_delay` (between zones) and `caller_delay`
+    (between callers and the fleet) are one-way latencies in seconds. `chats` is the number of
+    concurrent chats. The other fields describe one engine: `prefill_rate` in prompt tokens per
+    second, `token_time` in seconds per generated token, `engine_slots` in concurrent requests.
+    """
 
     name: str
     zones: tuple[str, ...]
@@ -44,17 +55,17 @@
     token_time: float = 0.03
     engine_slots: int = 16
     cache_tokens: int = 120_000
-    # A new engine bears so many at once until it has finished so many.
+    # A new engine can serve `cold_bears` requests at once until it has finished `cold_requests`.
     cold_bears: int = 2
     cold_requests: int = 4
 
     @property
     def declarations(self) -> Path:
-        """The folder of its declarations."""
+        """The folder with the declarations of the deployment."""
         return ROOT / "examples" / self.name
 
     def list_engine_options(self) -> tuple[str, ...]:
-        """List the options of its engines; a new one starts cold."""
+        """Return the command-line options of its engine stand-ins; each engine starts cold."""
         return (
             *("--slots", str(self.engine_slots)),
             *("--cache-tokens", str(self.cache_tokens)),
--- a/loadtool/_faults.py
+++ b/loadtool/_faults.py
@@ -1,4 +1,4 @@
-"""Carries out a schedule's faults on a running cluster, and ends them again."""
+"""Injects the faults of a schedule into a running cluster and ends them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,17 @@
 from loadtool._cluster import Cluster, Node
 from loadtool._schedule import Fault, Step
 
-COMMAND_TRIES = 20
+# Rounds over all instances in which an operator command is tried.
+MAX_COMMAND_ATTEMPTS = 20
 
 
 @attrs.define(slots=True)
 class OutPeriod:
-    """A zone or target that was out of service: when that was accepted, and when it ended."""
+    """A period in which a zone or target was out of service.
+
+    `accepted` and `ended` are Unix times: when the command was accepted, and when the return to
+    service was requested (0 until then).
+    """
 
     name: str
     accepted: float
@@ -26,16 +31,16 @@
 
 
 class FaultRunner:
-    """Runs faults. Invariant: a fault that `begin` started, `end` puts right."""
+    """Injects faults. Invariant: each fault that lasts is undone at the end of its step."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self.out_periods: list[OutPeriod] = []
         self.stop_seconds: list[float] = []
         self.stop_statuses: list[int] = []
-        # How often each engine turned cold without a sign.
+        # How often each engine was made cold under an unchanged boot id, by name.
         self.cold_turns: Counter[str] = Counter()
-        self._begin: dict[Fault, Callable[[Step], Awaitable[None]]] = {
+        self._injectors: dict[Fault, Callable[[Step], Awaitable[None]]] = {
             Fault.KILL_INSTANCE: self._kill_instance,
             Fault.FREEZE_INSTANCE: self._freeze_instance,
             Fault.STOP_INSTANCE: self._stop_instance,
@@ -43,24 +48,27 @@
             Fault.KILL_PLAIN: self._kill_target,
             Fault.FREEZE_TARGET: self._freeze_target,
             Fault.TURN_COLD: self._turn_cold,
-            Fault.CUT_CONNECTIONS: self._cut,
-            Fault.SILENCE_CONNECTIONS: self._silence,
-            Fault.PARTITION_ZONES: self._partition,
-            Fault.PLATFORM_OUTAGE: self._platform_outage,
-            Fault.PLATFORM_SLOW: self._platform_slow,
-            Fault.PLATFORM_LOSES_ANSWERS: self._platform_loses_answers,
-            Fault.ZONE_OUT: self._move_out,
-            Fault.TARGET_OUT: self._move_out,
+            Fault.CUT_CONNECTIONS: self._cut_connections,
+            Fault.SILENCE_CONNECTIONS: self._silence_connections,
+            Fault.PARTITION_ZONES: self._partition_zones,
+            Fault.PLATFORM_OUTAGE: self._start_platform_outage,
+            Fault.PLATFORM_SLOW: self._slow_platform,
+            Fault.PLATFORM_LOSES_ANSWERS: self._drop_platform_answers,
+            Fault.ZONE_OUT: self._take_out_of_service,
+            Fault.TARGET_OUT: self._take_out_of_service,
         }
 
     async def run(self, step: Step, started: float) -> None:
-        """Wait for a step's time, carry it out, and put it right at its end."""
+        """Inject the fault of a step at its time and undo it at its end.
+
+        `started` is the start of the run on the monotonic clock.
+        """
         await _sleep_until(started + step.at)
-        await self._begin[step.fault](step)
+        await self._injectors[step.fault](step)
         await _sleep_until(started + step.until)
-        await self._end(step)
+        await self._end_fault(step)
 
-    async def _end(self, step: Step) -> None:
+    async def _end_fault(self, step: Step) -> None:
         cluster = self._cluster
         fault = step.fault
         if fault in (Fault.KILL_INSTANCE, Fault.STOP_INSTANCE):
@@ -74,11 +82,11 @@
         elif fault is Fault.PARTITION_ZONES:
             await self._set_partition(step, False)
         elif fault is Fault.PLATFORM_OUTAGE:
-            await self._set_platform(outage=False)
+            await self._set_platform_faults(outage=False)
         elif fault is Fault.PLATFORM_SLOW:
-            await self._set_platform(delay=0.0)
+            await self._set_platform_faults(delay=0.0)
         elif fault in (Fault.ZONE_OUT, Fault.TARGET_OUT):
-            await self._move_in(step)
+            await self._return_to_service(step)
 
     async def _kill_instance(self, step: Step) -> None:
         await self._cluster.instances[step.victim].process.kill()
@@ -87,7 +95,7 @@
         self._cluster.instances[step.victim].process.freeze()
 
     async def _stop_instance(self, step: Step) -> None:
-        """Stop an instance as planned and wait for its end, however long it takes."""
+        """Stop an instance gracefully, wait for its end, and record duration and exit status."""
         began = time.monotonic()
         status = await self._cluster.instances[step.victim].process.stop(timeout=60.0)
         self.stop_seconds.append(time.monotonic() - began)
@@ -103,48 +111,52 @@
         self.cold_turns[step.victim] += 1
         await self._cluster.set_faults(self._cluster.targets[step.victim], turn_cold=True)
 
-    async def _cut(self, step: Step) -> None:
-        await self._cluster.set_route_faults(step.other, [self._find(step.victim)], cut=True)
+    async def _cut_connections(self, step: Step) -> None:
+        await self._cluster.set_route_faults(
+            step.peer_zone, [self._find_node(step.victim)], cut=True
+        )
 
-    async def _silence(self, step: Step) -> None:
-        await self._cluster.set_route_faults(step.other, [self._find(step.victim)], freeze=True)
+    async def _silence_connections(self, step: Step) -> None:
+        await self._cluster.set_route_faults(
+            step.peer_zone, [self._find_node(step.victim)], freeze=True
+        )
 
-    async def _partition(self, step: Step) -> None:
+    async def _partition_zones(self, step: Step) -> None:
         await self._set_partition(step, True)
 
     async def _set_partition(self, step: Step, on: bool) -> None:
-        for viewer, far in ((step.victim, step.other), (step.other, step.victim)):
-            nodes = [node for node in self._list_nodes() if node.zone == far]
-            await self._cluster.set_route_faults(viewer, nodes, blackhole=on)
+        for source_zone, far_zone in ((step.victim, step.peer_zone), (step.peer_zone, step.victim)):
+            nodes = [node for node in self._list_nodes() if node.zone == far_zone]
+            await self._cluster.set_route_faults(source_zone, nodes, blackhole=on)
 
-    async def _platform_outage(self, step: Step) -> None:
-        await self._set_platform(outage=True)
+    async def _start_platform_outage(self, step: Step) -> None:
+        await self._set_platform_faults(outage=True)
 
-    async def _platform_slow(self, step: Step) -> None:
-        await self._set_platform(delay=0.2)
+    async def _slow_platform(self, step: Step) -> None:
+        await self._set_platform_faults(delay=0.2)
 
-    async def _platform_loses_answers(self, step: Step) -> None:
-        await self._set_platform(lose_answers=3)
+    async def _drop_platform_answers(self, step: Step) -> None:
+        await self._set_platform_faults(lose_answers=3)
 
-    async def _set_platform(self, **faults: Any) -> None:
+    async def _set_platform_faults(self, **faults: Any) -> None:
         assert self._cluster.platform is not None
         await self._cluster.set_faults(self._cluster.platform, **faults)
 
-    async def _move_out(self, step: Step) -> None:
-        await self._move("out", step)
+    async def _take_out_of_service(self, step: Step) -> None:
+        await self._run_service_command("out", step)
         self.out_periods.append(OutPeriod(step.victim, time.time()))
 
-    async def _move_in(self, step: Step) -> None:
+    async def _return_to_service(self, step: Step) -> None:
         for period in self.out_periods:
             if period.name == step.victim and not period.ended:
                 period.ended = time.time()
-        await self._move("in", step)
+        await self._run_service_command("in", step)
 
-    async def _move(self, direction: str, step: Step) -> None:
-        """Run the operator's command until an instance accepts it, as an operator would."""
+    async def _run_service_command(self, direction: str, step: Step) -> None:
+        """Run an operator command until an instance accepts it, as an operator would."""
         kind = "zone" if step.fault is Fault.ZONE_OUT else "target"
         output = ""
-        for _ in range(COMMAND_TRIES):
+        for _ in range(MAX_COMMAND_ATTEMPTS):
             for node in self._cluster.instances.values():
                 if not node.process.running or node.process.frozen:
                     continue
@@ -154,12 +166,14 @@
                 if status == 0:
                     return
             await asyncio.sleep(0.5)
-        raise RuntimeError(f"{kind} {direction} {step.victim} was never accepted: {output}")
+        raise RuntimeError(
+            f"{kind} {direction} {step.victim} was not accepted by any instance: {output}"
+        )
 
     def _list_nodes(self) -> list[Node]:
         return [*self._cluster.instances.values(), *self._cluster.targets.values()]
 
-    def _find(self, name: str) -> Node:
+    def _find_node(self, name: str) -> Node:
         if name == "platform":
             assert self._cluster.platform is not None
             return self._cluster.platform
--- a/loadtool/_fleet.py
+++ b/loadtool/_fleet.py
@@ -1,4 +1,4 @@
-"""Starts a deployment at its size, with latencies put in by the proxies."""
+"""Starts a deployment for a measured run, with network latencies added by proxies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class MeasuredFleet:
-    """A running deployment, the ways callers take to it, and the means to change it."""
+    """A running deployment with the addresses that callers use, and the changes made during a run.
+
+    `caller_addresses` maps instances and targets to the proxy ports that add the callers' latency.
+    """
 
     def __init__(self, deployment: Deployment, policy: str, folder: Path, statsd_port: int) -> None:
         self.deployment = deployment
@@ -27,11 +30,11 @@
         self._policy = policy
         self._folder = folder
         self._caller_proxy: Node | None = None
-        self._replaced = 0
+        self._replacements = 0
         self.caller_addresses: dict[str, tuple[str, int]] = {}
 
     async def start(self) -> None:
-        """Start everything and wait until it is ready to serve."""
+        """Start all processes, apply the declarations and wait until targets are ready to serve."""
         cluster = self.cluster
         deployment = self.deployment
         await cluster.start_platform()
@@ -39,54 +42,54 @@
         self._caller_proxy = Node("proxy-callers", "proxy", "", process, port)
         starts: list[Any] = []
         for number in range(deployment.instances):
-            starts.append(cluster.start_instance(f"entry-{number + 1}", self._find_zone(number)))
+            starts.append(cluster.start_instance(f"entry-{number + 1}", self._select_zone(number)))
         for number in range(deployment.engines):
-            starts.append(self._start_engine(f"engine-{number + 1}", self._find_zone(number)))
+            starts.append(self._start_engine(f"engine-{number + 1}", self._select_zone(number)))
         for number in range(deployment.plains):
-            zone = self._find_zone(number)
+            zone = self._select_zone(number)
             name = f"{deployment.plain_service}-{number + 1}"
             starts.append(cluster.start_plain(name, zone, deployment.plain_service))
         await asyncio.gather(*starts)
         for node in (*cluster.instances.values(), *cluster.targets.values()):
             await self._set_delays(node)
-        await self._delay_platform()
+        await self._set_platform_delay()
         await cluster.register()
         await cluster.wait_ready()
         await cluster.apply(self._write_declarations())
         await cluster.wait_targets()
 
     def list_caller_addresses(self) -> list[tuple[str, int]]:
-        """List the instances as callers reach them."""
+        """Return the addresses at which callers reach the instances."""
         return [self.caller_addresses[name] for name in self.cluster.instances]
 
     def list_engines(self) -> list[Node]:
-        """List the engines that run."""
+        """Return the engines that are part of the deployment now."""
         return [node for node in self.cluster.targets.values() if node.kind == "engine"]
 
     async def start_replacement(self, old: Node) -> Node:
-        """Start an engine in an old one's zone, put it on the list, and say the old one leaves."""
-        self._replaced += 1
-        name = f"{old.id.partition('-r')[0]}-r{self._replaced}"
-        fresh = await self._start_engine(name, old.zone)
-        await self._set_delays(fresh)
-        await self.cluster.register(fresh)
+        """Start and register an engine in the zone of an old one; register the old as leaving."""
+        self._replacements += 1
+        name = f"{old.id.partition('-r')[0]}-r{self._replacements}"
+        replacement = await self._start_engine(name, old.zone)
+        await self._set_delays(replacement)
+        await self.cluster.register(replacement)
         await self.cluster.register(old, state="leaving")
-        return fresh
+        return replacement
 
-    async def end_engine(self, old: Node) -> None:
-        """Take an engine off the list and stop it."""
+    async def remove_engine(self, old: Node) -> None:
+        """Unregister an engine and stop it."""
         await self.cluster.unregister(old)
         del self.cluster.targets[old.id]
         await old.process.stop()
 
-    async def move_zone(self, direction: str, zone: str) -> None:
-        """Take a zone out of service or back in, as an operator does."""
+    async def set_zone_service(self, direction: str, zone: str) -> None:
+        """Run the operator command that takes a zone `out` of service or back `in`."""
         node = next(iter(self.cluster.instances.values()))
         status, output = await self.cluster.run_command("zone", direction, zone, node=node)
         if status != 0:
-            raise RuntimeError(f"zone {direction} failed: {output}")
+            raise RuntimeError(f"command zone {direction} failed: {output}")
 
-    def _find_zone(self, number: int) -> str:
+    def _select_zone(self, number: int) -> str:
         zones = self.deployment.zones
         return zones[number % len(zones)]
 
@@ -96,7 +99,7 @@
         return await self.cluster.start_engine(name, zone, deployment.engine_service, *options)
 
     async def _set_delays(self, node: Node) -> None:
-        """Set the latency of each other zone's way to a node, and of the callers' way."""
+        """Set the latency of the paths to a node from other zones and from callers."""
         for zone in self.deployment.zones:
             if zone != node.zone:
                 delay = self.deployment.zone_delay
@@ -109,8 +112,8 @@
         await self.cluster.ask_admin(proxy, "faults", faults)
         self.caller_addresses[node.id] = (HOST, port)
 
-    async def _delay_platform(self) -> None:
-        """Put the platform as far away as another zone."""
+    async def _set_platform_delay(self) -> None:
+        """Set the latency of the paths to the platform to that between zones."""
         platform = self.cluster.platform
         assert platform is not None
         for zone in self.deployment.zones:
@@ -118,7 +121,7 @@
             await self.cluster.set_route_faults(zone, [platform], delay=delay)
 
     def _write_declarations(self) -> Path:
-        """Write the deployment's declarations with the policy and what its engines bear."""
+        """Write the declarations with the run's policy and the engines' rate and cold limits."""
         path = self._folder / DECLARATION_FILE
         text = (self.deployment.declarations / DECLARATION_FILE).read_text("utf-8")
         text = text.replace("[[service]]", f'[[service]]\npolicy = "{self._policy}"')
--- a/loadtool/_ledger.py
+++ b/loadtool/_ledger.py
@@ -1,4 +1,4 @@
-"""What callers were told of each command, to be compared with what the services ran."""
+"""Records the answers to each command, to be compared with what the services ran."""
 
 from __future__ import annotations
 
@@ -14,27 +14,30 @@
 
 @attrs.define(slots=True)
 class CommandRecord:
-    """The answers that one key got, in order of sending."""
+    """The answers to the requests with one idempotency key, in the order recorded."""
 
     key: str
     answers: list[Answer] = attrs.Factory(list)
-    # Copies sent at the same time through different instances.
+    # Whether copies were sent at the same time through different instances.
     doubled: bool = False
 
     @property
-    def told_run(self) -> bool:
-        """Whether a caller was given the whole answer."""
+    def was_answered(self) -> bool:
+        """Whether a caller got a complete, right answer."""
         return any(answer.good for answer in self.answers)
 
     @property
-    def told_not_run_last(self) -> bool:
-        """Whether "not run" was the last word on the key, so that it is final."""
+    def is_final_not_run(self) -> bool:
+        """Whether the last answer on the key had the verdict "not run", which makes it final."""
         return bool(self.answers) and self.answers[-1].verdict == NOT_RUN
 
 
 @attrs.define(slots=True)
 class Ledger:
-    """Every answer of a run."""
+    """Counts and keeps the answers of a run.
+
+    Each answer counts as good, wrong, refused (by code) or failed (by reason).
+    """
 
     commands: dict[str, CommandRecord] = attrs.Factory(dict)
     requests: int = 0
@@ -44,7 +47,7 @@
     failures: Counter[str] = attrs.Factory(Counter)
 
     def add(self, answer: Answer) -> None:
-        """Count an answer."""
+        """Record an answer."""
         self.requests += 1
         if answer.good:
             self.good += 1
@@ -56,27 +59,36 @@
             self.failures[answer.failure or f"status {answer.status}, not whole"] += 1
 
     def add_command(self, key: str, answer: Answer) -> None:
-        """Count an answer of a command."""
+        """Record an answer to the command with an idempotency key."""
         self.add(answer)
         self.commands.setdefault(key, CommandRecord(key)).answers.append(answer)
 
     def find_broken(self, runs: dict[str, int]) -> list[str]:
-        """Compare what was told with what was run; gives a line for each broken promise."""
-        broken = [f"a wrong answer was given as whole: {answer}" for answer in self.wrong]
+        """Compare the answers with the number of runs by key; return a line for each violation.
+
+        A command that was answered must have run exactly once, one whose final answer is "not run"
+        must not have run, and none may run twice.
+        """
+        broken = [
+            f"an answer was complete with status 200, but not the right one: {answer}"
+            for answer in self.wrong
+        ]
         for key, count in runs.items():
             if count > 1:
-                broken.append(f"{key} was run {count} times: {self._describe(key)}")
+                broken.append(f"{key} ran {count} times, not once: {self._describe_answers(key)}")
         for key, record in self.commands.items():
             count = runs.get(key, 0)
-            if record.told_run and count != 1:
-                broken.append(f"{key} was answered and run {count} times: {self._describe(key)}")
-            elif record.told_not_run_last and count:
-                broken.append(f'{key} ran after a final "not run": {self._describe(key)}')
+            if record.was_answered and count != 1:
+                broken.append(
+                    f"{key} was answered but ran {count} times: {self._describe_answers(key)}"
+                )
+            elif record.is_final_not_run and count:
+                broken.append(f'{key} ran after a final "not run": {self._describe_answers(key)}')
         return broken
 
-    def _describe(self, key: str) -> str:
+    def _describe_answers(self, key: str) -> str:
         record = self.commands.get(key)
         if record is None:
-            return "no caller has sent it"
-        told = [f"{a.status}/{a.code or a.failure or 'ok'}/{a.verdict}" for a in record.answers]
-        return ", ".join(told)
+            return "no caller sent this key"
+        answers = [f"{a.status}/{a.code or a.failure or 'ok'}/{a.verdict}" for a in record.answers]
+        return ", ".join(answers)
--- a/loadtool/_measure.py
+++ b/loadtool/_measure.py
@@ -1,4 +1,7 @@
-"""`make measure`: one run of a deployment under load, churn and a zone's exit and return."""
+"""`make measure`: one measured run of a deployment under load.
+
+During the run engines are replaced, and one zone is taken out of service and returned.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,9 @@
 import attrs
 
 from loadtool import _analysis
-from loadtool._bound import compute_bound
-from loadtool._chats import TIME_SCALE, Load
-from loadtool._control import ControlWindow, measure_idle
+from loadtool._bound import compute_reuse_bound
+from loadtool._chats import TIME_SCALE_FACTOR, LoadGenerator
+from loadtool._control import ControlWindow, measure_idle_control
 from loadtool._counters import CounterSink, open_sink
 from loadtool._deployments import DEPLOYMENTS, Deployment
 from loadtool._fleet import MeasuredFleet
@@ -25,13 +28,13 @@
 from rhubarbbend.core.configuration import Service
 
 HOST: Final = "127.0.0.1"
-IDLE_SECONDS: Final = 4.0
-PROGRESS_INTERVAL: Final = 5.0
+IDLE_WINDOW_S: Final = 4.0
+PROGRESS_INTERVAL_S: Final = 5.0
 
 
 @attrs.define(slots=True, frozen=True)
 class RunOptions:
-    """What to run."""
+    """Which deployment to run, with which routing policy, random seed and duration in seconds."""
 
     deployment: str
     policy: str
@@ -40,7 +43,7 @@
 
 
 class Measurement:
-    """One run from the start of the fleet to its result."""
+    """One measured run, from the start of the fleet to the result."""
 
     def __init__(self, options: RunOptions, folder: Path) -> None:
         self._options = options
@@ -49,54 +52,54 @@
         self._phases = plan_phases(options.seconds)
 
     async def run(self) -> RunResult:
-        """Run everything."""
+        """Start the fleet, measure it idle and under load, and return the result."""
         sink, port = await open_sink(HOST)
         fleet = MeasuredFleet(self._deployment, self._options.policy, self._folder, port)
         async with fleet.cluster:
-            self._say("starting the fleet")
+            self._print_status("starting the fleet")
             await fleet.start()
             instances = list(fleet.cluster.instances.values())
-            self._say(f"measuring the idle fleet for {IDLE_SECONDS:.0f} s")
-            idle = await measure_idle(sink, instances, IDLE_SECONDS)
-            load = self._make_load(fleet)
+            self._print_status(f"measuring the idle fleet for {IDLE_WINDOW_S:.0f} s")
+            idle = await measure_idle_control(sink, instances, IDLE_WINDOW_S)
+            load = self._make_load_generator(fleet)
             sampler = EngineSampler(fleet.cluster, fleet.list_engines, load.now)
             scenario = Scenario(fleet, self._phases, load.now, self._options.seed)
             probes = PairedProbes(fleet, load.now, self._options.seed)
             steady = self._find_phase(STEADY)
-            window = asyncio.create_task(self._measure_busy(fleet, sink, load, steady))
+            busy_task = asyncio.create_task(self._measure_busy(fleet, sink, load, steady))
             seconds = self._options.seconds
             await asyncio.gather(
                 load.run(),
                 sampler.run(seconds),
                 scenario.run(),
                 probes.run(steady.begin, steady.end),
-                self._show_progress(load),
+                self._print_progress(load),
             )
             runs = fleet.cluster.read_runs()
-            result = self._describe(load, sampler, scenario, self._find_service())
+            result = self._compute_result(load, sampler, scenario, self._find_service())
             result.idle = idle
-            result.busy = await window
+            result.busy = await busy_task
             result.run_twice = sum(count > 1 for count in runs.values())
             result.counters = dict(sorted(sink.sum_all().items()))
-            result.fleet_first = probes.fleet_times.first.describe()
-            result.direct_first = probes.direct_times.first.describe()
-            result.fleet_gap = probes.fleet_times.gap.describe()
-            result.direct_gap = probes.direct_times.gap.describe()
+            result.fleet_first = probes.fleet_times.first_byte.compute_quantiles()
+            result.direct_first = probes.direct_times.first_byte.compute_quantiles()
+            result.fleet_gap = probes.fleet_times.gap.compute_quantiles()
+            result.direct_gap = probes.direct_times.gap.compute_quantiles()
             return result
 
-    def _make_load(self, fleet: MeasuredFleet) -> Load:
+    def _make_load_generator(self, fleet: MeasuredFleet) -> LoadGenerator:
         warm = self._find_phase(WARM)
         options = self._options
-        return Load(
+        return LoadGenerator(
             self._deployment,
             fleet.list_caller_addresses,
             options.seed,
             options.seconds,
-            ramp=0.8 * warm.end,
+            ramp_s=0.8 * warm.end,
         )
 
     async def _measure_busy(
-        self, fleet: MeasuredFleet, sink: CounterSink, load: Load, phase: Phase
+        self, fleet: MeasuredFleet, sink: CounterSink, load: LoadGenerator, phase: Phase
     ) -> ControlResult:
         while load.now() < phase.begin:
             await asyncio.sleep(0.05)
@@ -104,41 +107,43 @@
         await asyncio.sleep(phase.end - load.now())
         return window.close()
 
-    def _describe(
-        self, load: Load, sampler: EngineSampler, scenario: Scenario, service: Service
+    def _compute_result(
+        self, load: LoadGenerator, sampler: EngineSampler, scenario: Scenario, service: Service
     ) -> RunResult:
         options = self._options
-        bounds = compute_bound(
-            load.turns,
+        bounds = compute_reuse_bound(
+            load.served_turns,
             list(scenario.spans.values()),
             self._deployment.cache_tokens,
             [phase.end for phase in self._phases],
         )
         phases = []
         for phase, bound in zip(self._phases, bounds, strict=True):
-            out = scenario.zone_engines if phase.name == ZONE_OUT else set()
+            excluded = scenario.zone_engines if phase.name == ZONE_OUT else set()
             phases.append(
-                _analysis.describe_phase(phase, load.sent, sampler.samples, bound, out, service)
+                _analysis.compute_phase_result(
+                    phase, load.requests, sampler.samples, bound, excluded, service
+                )
             )
         return RunResult(
             options.deployment,
             options.policy,
             options.seed,
             options.seconds,
-            TIME_SCALE,
-            requests=len(load.sent),
-            wrong=sum(one.answer.wrong for one in load.sent),
+            TIME_SCALE_FACTOR,
+            requests=len(load.requests),
+            wrong=sum(request.answer.wrong for request in load.requests),
             phases=phases,
-            zone=_analysis.describe_zone(
+            zone=_analysis.compute_zone_result(
                 scenario.zone,
                 scenario.zone_engines,
-                scenario.out_at,
-                scenario.back_asked_at,
-                load.sent,
+                scenario.out_of_service_at,
+                scenario.in_service_requested_at,
+                load.requests,
                 sampler.samples,
             ),
-            failures=_analysis.count_failures(load.sent),
-            series=_analysis.make_series(options.seconds, load.sent, sampler.samples, set()),
+            failures=_analysis.count_failures(load.requests),
+            series=_analysis.compute_series(options.seconds, load.requests, sampler.samples, set()),
         )
 
     def _find_phase(self, name: str) -> Phase:
@@ -150,21 +155,21 @@
         assert isinstance(service, Service)
         return service
 
-    async def _show_progress(self, load: Load) -> None:
+    async def _print_progress(self, load: LoadGenerator) -> None:
         seconds = self._options.seconds
         while load.now() < seconds:
             phase = next((p.name for p in self._phases if load.now() < p.end), "")
-            good = sum(one.answer.good for one in load.sent)
-            self._say(f"{load.now():4.0f} of {seconds:.0f} s, {phase}: {good} answers")
-            await asyncio.sleep(min(PROGRESS_INTERVAL, max(0.1, seconds - load.now())))
+            good = sum(request.answer.good for request in load.requests)
+            self._print_status(f"{load.now():4.0f} of {seconds:.0f} s, {phase}: {good} answers")
+            await asyncio.sleep(min(PROGRESS_INTERVAL_S, max(0.1, seconds - load.now())))
 
-    def _say(self, text: str) -> None:
+    def _print_status(self, text: str) -> None:
         options = self._options
         line = f"{options.deployment} {options.policy} seed {options.seed}: {text}"
         print(line, file=sys.stderr, flush=True)
 
 
 async def measure(options: RunOptions) -> RunResult:
-    """Run one measurement in a folder of its own."""
+    """Run one measurement in a temporary folder and return its result."""
     with tempfile.TemporaryDirectory(prefix="rhubarbbend-measure-") as name:
         return await Measurement(options, Path(name)).run()
--- a/loadtool/_plots.py
+++ b/loadtool/_plots.py
@@ -1,4 +1,4 @@
-"""Plots of a run's figures by time, one PNG for each measure."""
+"""Plots figures of runs over time, one PNG file for each figure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 matplotlib.use("Agg")
 
-PLOTS: Final = {
+PLOT_LABELS: Final = {
     "reuse": "share of prompt tokens from the prefix cache",
     "skew": "most loaded engine over the mean, highest of each second",
     "served_share": "share of requests served well",
@@ -22,17 +22,21 @@
 
 
 def draw_plots(results: Sequence[RunResult], folder: Path, stem: str) -> list[Path]:
-    """Draw each measure with one line for each run; gives the files."""
+    """Draw a plot of each figure with one line per run; return the paths of the files.
+
+    Phases are marked as in the first run.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     return [
-        _draw(results, name, label, folder / f"{stem}-{name}.png") for name, label in PLOTS.items()
+        _draw_plot(results, name, label, folder / f"{stem}-{name}.png")
+        for name, label in PLOT_LABELS.items()
     ]
 
 
-def _draw(results: Sequence[RunResult], name: str, label: str, path: Path) -> Path:
+def _draw_plot(results: Sequence[RunResult], name: str, label: str, path: Path) -> Path:
     figure, axes = pyplot.subplots(figsize=(8, 3.5), layout="constrained")
     for result in results:
-        values = _read(result.series, name)
+        values = _read_series(result.series, name)
         axes.plot(result.series.at, values, label=f"{result.policy}, seed {result.seed}")
     begin = 0.0
     for phase in results[0].phases:
@@ -47,6 +51,6 @@
     return path
 
 
-def _read(series: Series, name: str) -> list[float]:
+def _read_series(series: Series, name: str) -> list[float]:
     values: list[float] = getattr(series, name)
     return values
--- a/loadtool/_report.py
+++ b/loadtool/_report.py
@@ -1,4 +1,4 @@
-"""Tables of results: one run, two sets of runs beside each other, all policies in markdown."""
+"""Formats results: one run, two sets of runs side by side, and all policies in Markdown."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 from loadtool._results import RunResult
 from loadtool._scenario import CHURN, STEADY, ZONE_BACK, ZONE_OUT
 
-KILOBYTE: Final = 1000.0
-# The table of phases shows the measures before this one.
-SHOWN_FROM: Final = 13
-LEAST_SEEDS: Final = 2
+BYTES_PER_KILOBYTE: Final = 1000.0
+# Index of the first measure that the table of phases does not show.
+FIRST_NON_PHASE_MEASURE: Final = 13
+# With fewer shared seeds, neither set of runs is reported as better.
+MIN_SEEDS: Final = 2
 
 
 @attrs.define(slots=True, frozen=True)
 class Measure:
-    """One figure of a run; `better` tells which way is good: 1 higher, -1 lower."""
+    """A figure of a run; `better_sign` is 1 if higher values are better and -1 if lower ones."""
 
     name: str
     unit: str
-    better: int
+    better_sign: int
     read: Callable[[RunResult], float]
 
 
-def _read_reuse(phase: str) -> Callable[[RunResult], float]:
+def _reuse_reader(phase: str) -> Callable[[RunResult], float]:
     return lambda result: result.find_phase(phase).reuse
 
 
-def _read_ratio(phase: str) -> Callable[[RunResult], float]:
+def _reuse_ratio_reader(phase: str) -> Callable[[RunResult], float]:
     return lambda result: result.find_phase(phase).reuse_ratio
 
 
-def _count_lost(result: RunResult) -> float:
+def _count_not_served(result: RunResult) -> float:
     return float(sum(phase.requests - phase.served for phase in result.phases))
 
 
 MEASURES: Final = (
-    Measure("reuse, steady", "", 1, _read_reuse(STEADY)),
-    Measure("reuse / bound, steady", "", 1, _read_ratio(STEADY)),
-    Measure("reuse / bound, churn", "", 1, _read_ratio(CHURN)),
-    Measure("reuse / bound, zone out", "", 1, _read_ratio(ZONE_OUT)),
-    Measure("reuse / bound, zone back", "", 1, _read_ratio(ZONE_BACK)),
+    Measure("reuse, steady", "", 1, _reuse_reader(STEADY)),
+    Measure("reuse / bound, steady", "", 1, _reuse_ratio_reader(STEADY)),
+    Measure("reuse / bound, churn", "", 1, _reuse_ratio_reader(CHURN)),
+    Measure("reuse / bound, zone out", "", 1, _reuse_ratio_reader(ZONE_OUT)),
+    Measure("reuse / bound, zone back", "", 1, _reuse_ratio_reader(ZONE_BACK)),
     Measure("skew, steady, p95", "", -1, lambda r: r.find_phase(STEADY).skew_p95),
     Measure("samples over the bound", "", -1, lambda r: r.find_phase(STEADY).over_share),
     Measure("most over the bound", "req", -1, lambda r: float(r.find_phase(STEADY).over_most)),
@@ -53,7 +54,7 @@
     Measure("first byte p99, steady", "ms", -1, lambda r: r.find_phase(STEADY).first_byte.p99),
     Measure("first byte p95, churn", "ms", -1, lambda r: r.find_phase(CHURN).first_byte.p95),
     Measure("first byte p95, zone out", "ms", -1, lambda r: r.find_phase(ZONE_OUT).first_byte.p95),
-    Measure("not served, whole run", "req", -1, _count_lost),
+    Measure("not served, whole run", "req", -1, _count_not_served),
     Measure("lost by the zone's exit", "req", -1, lambda r: float(r.zone.lost)),
     Measure("served well, worst second", "", 1, lambda r: r.zone.lowest_share),
     Measure("seconds below 99 in 100", "s", -1, lambda r: r.zone.dip_seconds),
@@ -71,14 +72,14 @@
         lambda r: r.fleet_first.p99 - r.direct_first.p99,
     ),
     Measure("added between tokens, p50", "ms", -1, lambda r: r.fleet_gap.p50 - r.direct_gap.p50),
-    Measure("control, idle", "KB/s", -1, lambda r: r.idle.total_bytes / KILOBYTE),
-    Measure("control, busy", "KB/s", -1, lambda r: r.busy.total_bytes / KILOBYTE),
+    Measure("control, idle", "KB/s", -1, lambda r: r.idle.total_bytes / BYTES_PER_KILOBYTE),
+    Measure("control, busy", "KB/s", -1, lambda r: r.busy.total_bytes / BYTES_PER_KILOBYTE),
     Measure("core, idle", "%", -1, lambda r: 100 * r.idle.core_share),
     Measure("core, busy, requests too", "%", -1, lambda r: 100 * r.busy.core_share),
 )
 
 
-def _align(rows: Sequence[Sequence[str]]) -> list[str]:
+def _align_columns(rows: Sequence[Sequence[str]]) -> list[str]:
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     return [
         "  ".join(
@@ -89,8 +90,8 @@
     ]
 
 
-def show_run(result: RunResult) -> str:
-    """Show one run: its phases, then its other figures."""
+def format_run(result: RunResult) -> str:
+    """Return one run as text: a table of its phases, then its other figures."""
     rows = [
         ["phase", "req", "served", "reuse", "of bound", "skew p95", "max", "over", "p50", "p95"]
     ]
@@ -112,11 +113,11 @@
     lines = [
         f"{result.deployment}, {result.policy}, seed {result.seed}: {result.requests} requests in "
         f"{result.seconds:.0f} s; one second stands for {result.time_scale:.0f} s of chats' pauses",
-        *_align(rows),
+        *_align_columns(rows),
         f"wrong answers {result.wrong}, commands run twice {result.run_twice}",
         *(
-            f"{one.name}: {one.read(result):.3f} {one.unit}".rstrip()
-            for one in MEASURES[SHOWN_FROM:]
+            f"{measure.name}: {measure.read(result):.3f} {measure.unit}".rstrip()
+            for measure in MEASURES[FIRST_NON_PHASE_MEASURE:]
         ),
     ]
     for kind, rate in result.busy.bytes_per_second.items():
@@ -132,55 +133,58 @@
     return "\n".join(lines)
 
 
-def _summarize(values: Sequence[float]) -> str:
-    mean = _show_number(statistics.fmean(values))
+def _format_range(values: Sequence[float]) -> str:
+    mean = _format_number(statistics.fmean(values))
     if len(values) == 1:
         return mean
-    return f"{mean} ({_show_number(min(values))} to {_show_number(max(values))})"
+    return f"{mean} ({_format_number(min(values))} to {_format_number(max(values))})"
 
 
-def _show_number(value: float) -> str:
-    """Show three figures or so, and no decimals that a measurement does not have."""
+def _format_number(value: float) -> str:
+    """Format a number with about three digits; more would exceed the precision of the runs."""
     if abs(value) >= 100 or value == int(value):
         return f"{value:.0f}"
     return f"{value:.1f}" if abs(value) >= 10 else f"{value:.3f}"
 
 
-def compare(first: Sequence[RunResult], second: Sequence[RunResult]) -> str:
-    """Show the figures of two sets of runs, their ratio, and its spread over shared seeds."""
+def format_comparison(first: Sequence[RunResult], second: Sequence[RunResult]) -> str:
+    """Return a table of two sets of runs, A and B, with the ratio B/A and its range.
+
+    The ratio is computed for each shared seed; the table shows its mean, minimum and maximum.
+    """
     rows = [["measure", "A", "B", "B/A", "spread", ""]]
-    for one in MEASURES:
-        a = {result.seed: one.read(result) for result in first}
-        b = {result.seed: one.read(result) for result in second}
+    for measure in MEASURES:
+        a = {result.seed: measure.read(result) for result in first}
+        b = {result.seed: measure.read(result) for result in second}
         ratios = [b[seed] / a[seed] for seed in sorted(a.keys() & b.keys()) if a[seed]]
         mean = f"{statistics.fmean(ratios):.3f}" if ratios else "-"
         spread = f"{min(ratios):.3f}-{max(ratios):.3f}" if ratios else "-"
         rows.append(
             [
-                f"{one.name} {one.unit}".rstrip(),
-                _summarize(list(a.values())),
-                _summarize(list(b.values())),
+                f"{measure.name} {measure.unit}".rstrip(),
+                _format_range(list(a.values())),
+                _format_range(list(b.values())),
                 mean,
                 spread,
-                _judge(one, ratios),
+                _compare_seeds(measure, ratios),
             ]
         )
-    return "\n".join(_align(rows))
+    return "\n".join(_align_columns(rows))
 
 
-def _judge(one: Measure, ratios: Sequence[float]) -> str:
-    """Say which is better where every seed agrees; one seed alone says nothing."""
-    if len(ratios) < LEAST_SEEDS:
+def _compare_seeds(measure: Measure, ratios: Sequence[float]) -> str:
+    """Return which set is better if at least MIN_SEEDS seeds are shared and all agree."""
+    if len(ratios) < MIN_SEEDS:
         return ""
-    if all((ratio - 1) * one.better > 0 for ratio in ratios):
+    if all((ratio - 1) * measure.better_sign > 0 for ratio in ratios):
         return "B better"
-    if all((ratio - 1) * one.better < 0 for ratio in ratios):
+    if all((ratio - 1) * measure.better_sign < 0 for ratio in ratios):
         return "A better"
     return ""
 
 
-def show_markdown(results: Sequence[RunResult]) -> str:
-    """Show every deployment's policies beside each other: mean and range over seeds."""
+def format_markdown(results: Sequence[RunResult]) -> str:
+    """Return Markdown tables of each deployment: mean and range over seeds, by policy."""
     blocks: list[str] = []
     for deployment in sorted({result.deployment for result in results}):
         chosen = [result for result in results if result.deployment == deployment]
@@ -190,11 +194,15 @@
         blocks.append(f"Mean and range over seeds {', '.join(map(str, seeds))}.\n")
         blocks.append("| measure | " + " | ".join(policies) + " |")
         blocks.append("| --- |" + " --- |" * len(policies))
-        for one in MEASURES:
+        for measure in MEASURES:
             cells = [
-                _summarize([one.read(result) for result in chosen if result.policy == policy])
+                _format_range(
+                    [measure.read(result) for result in chosen if result.policy == policy]
+                )
                 for policy in policies
             ]
-            blocks.append(f"| {one.name} {one.unit}".rstrip() + " | " + " | ".join(cells) + " |")
+            blocks.append(
+                f"| {measure.name} {measure.unit}".rstrip() + " | " + " | ".join(cells) + " |"
+            )
         blocks.append("")
     return "\n".join(blocks)
--- a/loadtool/_results.py
+++ b/loadtool/_results.py
@@ -1,4 +1,4 @@
-"""The typed result of a measuring run, as it is written to a JSON file."""
+"""The result of a measured run and its JSON file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Quantiles(msgspec.Struct):
-    """Quantiles of a time in milliseconds."""
+    """Quantiles of a duration in milliseconds, and the number of values."""
 
     count: int = 0
     p50: float = 0.0
@@ -17,7 +17,11 @@
 
 
 class PhaseResult(msgspec.Struct):
-    """What was measured in one phase. Skew is the most loaded engine over the mean."""
+    """The figures of one phase of a run.
+
+    Reuse is the share of prompt tokens found in engines' caches, and skew the load of the most
+    loaded engine divided by the mean. `served_late` counts requests whose first byte came late.
+    """
 
     name: str
     seconds: float = 0.0
@@ -29,7 +33,8 @@
     skew_p50: float = 0.0
     skew_p95: float = 0.0
     skew_max: float = 0.0
-    # Share of samples in which an engine had more than the set multiple allows, and by how much.
+    # Share of samples in which an engine exceeded the limit set by the load bound, and by how many
+    # requests at most.
     over_share: float = 0.0
     over_most: int = 0
     first_byte: Quantiles = msgspec.field(default_factory=Quantiles)
@@ -37,17 +42,20 @@
 
     @property
     def reuse_ratio(self) -> float:
-        """Reuse over its upper bound."""
+        """Reuse divided by its upper bound; 0 if the bound is 0."""
         return self.reuse / self.reuse_bound if self.reuse_bound else 0.0
 
     @property
     def served_share(self) -> float:
-        """Share of requests with a whole, right answer."""
+        """Share of requests with a complete, right answer; 0 without requests."""
         return self.served / self.requests if self.requests else 0.0
 
 
 class ControlResult(msgspec.Struct):
-    """Control cost of one instance: bytes a second by kind, share of a core."""
+    """Cost of control at an instance: bytes per second by kind, and the share of a core.
+
+    Figures are means over the instances, except `core_share_most`, the highest share.
+    """
 
     bytes_per_second: dict[str, float] = {}
     core_share: float = 0.0
@@ -55,12 +63,18 @@
 
     @property
     def total_bytes(self) -> float:
-        """Bytes a second of every kind."""
+        """Bytes per second, summed over all kinds."""
         return sum(self.bytes_per_second.values())
 
 
 class ZoneResult(msgspec.Struct):
-    """Service while a zone left and came back; times in seconds."""
+    """Service while a zone was out of service and returned.
+
+    `lowest_share` is the lowest share of requests served well in a second, `dip_seconds` the time
+    in which that share was low, and `lost` the number of requests without a right answer.
+    `last_new_work` is the time in seconds from the exit to the last new request at the zone, and
+    `first_work_back` that from the return to the first one, or -1 if there was none.
+    """
 
     zone: str = ""
     lowest_share: float = 1.0
@@ -71,7 +85,7 @@
 
 
 class Series(msgspec.Struct):
-    """Figures by time since the start of the load, for the plots."""
+    """Figures for the plots, by the time `at` in seconds since the load began."""
 
     at: list[float] = []
     reuse: list[float] = []
@@ -81,7 +95,7 @@
 
 
 class RunResult(msgspec.Struct):
-    """Everything that one run measured."""
+    """The complete result of one run."""
 
     deployment: str
     policy: str
@@ -104,17 +118,17 @@
     series: Series = msgspec.field(default_factory=Series)
 
     def find_phase(self, name: str) -> PhaseResult:
-        """Find a phase by its name."""
+        """Return the phase with a name; raise StopIteration if there is none."""
         return next(phase for phase in self.phases if phase.name == name)
 
 
 def write_result(result: RunResult, path: Path) -> None:
-    """Write a result as JSON."""
+    """Write a result to a JSON file and create its folder if needed."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
 
 
 def read_results(path: Path) -> list[RunResult]:
-    """Read one result, or every result of a folder."""
+    """Read one result file, or all those in a folder and its subfolders."""
     files = sorted(path.rglob("*.json")) if path.is_dir() else [path]
     return [msgspec.json.decode(file.read_bytes(), type=RunResult) for file in files]
--- a/loadtool/_samples.py
+++ b/loadtool/_samples.py
@@ -1,4 +1,4 @@
-"""Samples of what runs: engines by their own figures, instances by the kernel's."""
+"""Samples running processes: engines by their own statistics, instances by the kernel's."""
 
 from __future__ import annotations
 
@@ -14,15 +14,18 @@
 from loadtool._cluster import Cluster, Node
 from rhubarbbend.http import HttpFailure
 
-SAMPLE_INTERVAL: Final = 0.2
+SAMPLE_INTERVAL_S: Final = 0.2
 TICKS_PER_SECOND: Final = os.sysconf("SC_CLK_TCK")
-# Fields of /proc/PID/stat after the command's name: user and system time.
-USER_FIELD: Final = 11
-SYSTEM_FIELD: Final = 12
+# Positions of the user and system time in /proc/PID/stat, counted after the command's name.
+USER_TIME_FIELD: Final = 11
+SYSTEM_TIME_FIELD: Final = 12
 
 
-class EngineFigures(msgspec.Struct):
-    """What an engine says of itself."""
+class EngineStats(msgspec.Struct):
+    """The statistics that an engine reports on its admin port.
+
+    Tokens are counted since its start, `last_request` is the time of its last new request.
+    """
 
     running: int
     prompt_tokens: int
@@ -32,23 +35,23 @@
 
 @attrs.define(slots=True, frozen=True)
 class EngineSample:
-    """The engines at one time, by name; `at` in seconds since the load began."""
+    """The statistics of all engines by name, `at` seconds after the load began."""
 
     at: float
-    engines: dict[str, EngineFigures]
+    engines: dict[str, EngineStats]
 
 
 def read_processor_time(pid: int) -> float:
-    """Read the processor seconds that a process of this run has used; 0 if it has ended."""
+    """Return the processor seconds that a process has used; 0 if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text("ascii").rpartition(")")[2].split()
     except OSError:
         return 0.0
-    return (int(fields[USER_FIELD]) + int(fields[SYSTEM_FIELD])) / TICKS_PER_SECOND
+    return (int(fields[USER_TIME_FIELD]) + int(fields[SYSTEM_TIME_FIELD])) / TICKS_PER_SECOND
 
 
 class EngineSampler:
-    """Asks every engine for its figures at an interval."""
+    """Reads the statistics of every engine at an interval."""
 
     def __init__(
         self, cluster: Cluster, list_engines: Callable[[], list[Node]], now: Callable[[], float]
@@ -59,26 +62,28 @@
         self._now = now
 
     async def run(self, seconds: float) -> None:
-        """Sample until the time is over."""
+        """Record samples until so many seconds have passed since the load began."""
         while self._now() < seconds:
             started = self._now()
-            await self.take()
-            await asyncio.sleep(max(0.0, SAMPLE_INTERVAL - (self._now() - started)))
+            await self.record_sample()
+            await asyncio.sleep(max(0.0, SAMPLE_INTERVAL_S - (self._now() - started)))
 
-    async def take(self) -> None:
-        """Take one sample of all engines at once."""
+    async def record_sample(self) -> None:
+        """Record one sample of all engines, which are read concurrently."""
         nodes = self._list_engines()
         at = self._now()
-        found = await asyncio.gather(*(self._read(node) for node in nodes))
-        figures = {
-            node.id: figure for node, figure in zip(nodes, found, strict=True) if figure is not None
+        found = await asyncio.gather(*(self._read_stats(node) for node in nodes))
+        stats = {
+            node.id: engine_stats
+            for node, engine_stats in zip(nodes, found, strict=True)
+            if engine_stats is not None
         }
-        self.samples.append(EngineSample(at, figures))
+        self.samples.append(EngineSample(at, stats))
 
-    async def _read(self, node: Node) -> EngineFigures | None:
+    async def _read_stats(self, node: Node) -> EngineStats | None:
         try:
             answer = await self._cluster.ask_admin(node, "stats")
         except HttpFailure:
-            # It has just been stopped by the run itself.
+            # The run itself has just stopped this engine.
             return None
-        return msgspec.convert(answer, EngineFigures)
+        return msgspec.convert(answer, EngineStats)
--- a/loadtool/_schedule.py
+++ b/loadtool/_schedule.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of faults: the same seed gives the same schedule."""
+"""A seeded random schedule of faults: the same seed gives the same schedule."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 T = TypeVar("T")
 
-# Faults start this far apart on average, and end this long before the run does, in seconds.
-MEAN_GAP: Final = 1.2
-QUIET_START: Final = 2.0
+# Mean time between the starts of two faults, and the time without faults at the start of a run.
+MEAN_FAULT_INTERVAL_S: Final = 1.2
+QUIET_START_S: Final = 2.0
 
 
 class Fault(enum.Enum):
-    """A kind of fault, and for how many seconds it lasts at least and at most."""
+    """A kind of fault with its shortest and longest duration in seconds."""
 
     KILL_INSTANCE = ("kill_instance", 1.0, 4.0)
     FREEZE_INSTANCE = ("freeze_instance", 0.5, 6.0)
@@ -35,30 +35,36 @@
     ZONE_OUT = ("zone_out", 5.0, 10.0)
     TARGET_OUT = ("target_out", 4.0, 8.0)
 
-    def __init__(self, label: str, shortest: float, longest: float) -> None:
+    def __init__(self, label: str, min_duration: float, max_duration: float) -> None:
         self.label = label
-        self.shortest = shortest
-        self.longest = longest
+        self.min_duration = min_duration
+        self.max_duration = max_duration
 
 
 @attrs.define(slots=True, frozen=True)
 class Step:
-    """One fault: when it starts and ends, in seconds from the start, and whom it hits."""
+    """A fault that starts `at` and ends `until` so many seconds after the start of the run.
+
+    `victim` is the node or zone that it affects. `peer_zone` is the other zone of a partition, or
+    the zone from which connections to the victim are cut or silenced.
+    """
 
     at: float
     until: float
     fault: Fault
     victim: str
-    other: str = ""
+    peer_zone: str = ""
 
     def __str__(self) -> str:
-        other = f" {self.other}" if self.other else ""
-        return f"{self.at:6.2f} to {self.until:6.2f}  {self.fault.label:24} {self.victim}{other}"
+        peer_zone = f" {self.peer_zone}" if self.peer_zone else ""
+        return (
+            f"{self.at:6.2f} to {self.until:6.2f}  {self.fault.label:24} {self.victim}{peer_zone}"
+        )
 
 
 @attrs.define(slots=True, frozen=True)
 class Layout:
-    """The names that a schedule may draw from."""
+    """The names of the zones and nodes that faults can affect."""
 
     zones: Sequence[str]
     instances: Sequence[str]
@@ -67,36 +73,37 @@
 
 
 def make_schedule(seed: int, duration: float, layout: Layout) -> list[Step]:
-    """Draw faults until the last quarter of the run, which is left to recovery.
+    """Return random faults for a run of so many seconds.
 
-    A node is hit by one fault at a time, so that each fault's end is its own; faults of different
-    nodes overlap freely.
+    No fault is active in the last quarter of the run, which is left for recovery. A node has one
+    fault at a time, so that the end of one fault does not undo another; faults of different nodes
+    may overlap.
     """
     rng = default_rng(seed)
     steps: list[Step] = []
-    at = QUIET_START
+    at = QUIET_START_S
     last = duration * 0.75
     while at < last:
         fault = list(Fault)[int(rng.integers(len(Fault)))]
-        until = min(at + float(rng.uniform(fault.shortest, fault.longest)), last)
-        step = _draw_step(rng, at, until, fault, layout)
+        until = min(at + float(rng.uniform(fault.min_duration, fault.max_duration)), last)
+        step = _choose_step(rng, at, until, fault, layout)
         if not any(_overlap(step, earlier) for earlier in steps):
             steps.append(step)
-        at += float(rng.exponential(MEAN_GAP))
+        at += float(rng.exponential(MEAN_FAULT_INTERVAL_S))
     return steps
 
 
-def _draw_step(rng: Generator, at: float, until: float, fault: Fault, layout: Layout) -> Step:
-    victim = choose(rng, _list_victims(fault, layout))
-    other = ""
+def _choose_step(rng: Generator, at: float, until: float, fault: Fault, layout: Layout) -> Step:
+    victim = choose(rng, _list_possible_victims(fault, layout))
+    peer_zone = ""
     if fault is Fault.PARTITION_ZONES:
-        other = choose(rng, [zone for zone in layout.zones if zone != victim])
+        peer_zone = choose(rng, [zone for zone in layout.zones if zone != victim])
     elif fault in (Fault.CUT_CONNECTIONS, Fault.SILENCE_CONNECTIONS):
-        other = choose(rng, layout.zones)
-    return Step(round(at, 2), round(until, 2), fault, victim, other)
+        peer_zone = choose(rng, layout.zones)
+    return Step(round(at, 2), round(until, 2), fault, victim, peer_zone)
 
 
-def _list_victims(fault: Fault, layout: Layout) -> Sequence[str]:
+def _list_possible_victims(fault: Fault, layout: Layout) -> Sequence[str]:
     if fault in (Fault.KILL_INSTANCE, Fault.FREEZE_INSTANCE, Fault.STOP_INSTANCE):
         return layout.instances
     if fault in (Fault.KILL_ENGINE, Fault.TURN_COLD):
@@ -113,12 +120,15 @@
 
 
 def choose(rng: Generator, items: Sequence[T]) -> T:
-    """Draw one item."""
+    """Return a random item."""
     return items[int(rng.integers(len(items)))]
 
 
 def _overlap(step: Step, earlier: Step) -> bool:
-    """Whether two faults would hit one node, or one kind of thing, at the same time."""
+    """Return whether two faults affect the same node at the same time.
+
+    Zones out of service, and likewise partitions, must not overlap among themselves either.
+    """
     same_kind = step.fault in (Fault.ZONE_OUT, Fault.PARTITION_ZONES) and (
         step.fault is earlier.fault
     )
--- a/loadtool/_waiting.py
+++ b/loadtool/_waiting.py
@@ -1,4 +1,4 @@
-"""Waits for something that another process brings about."""
+"""Waits for a condition that depends on other processes."""
 
 from __future__ import annotations
 
@@ -9,10 +9,15 @@
 async def wait_until(
     what: str, check: Callable[[], Awaitable[bool]], timeout: float = 10.0
 ) -> None:
-    """Wait until a check holds; fails with `what` if it never does."""
+    """Wait until `check` returns true.
+
+    Raises AssertionError with the description `what` if that takes longer than `timeout` seconds.
+    """
     async with asyncio.timeout(timeout):
         try:
             while not await check():
                 await asyncio.sleep(0.03)
         except TimeoutError as error:
-            raise AssertionError(f"not within {timeout} s: {what}") from error
+            raise AssertionError(
+                f"timed out after {timeout} s while waiting for: {what}"
+            ) from error
--- a/tests/loadtool/test_load.py
+++ b/tests/loadtool/test_load.py
@@ -1,4 +1,4 @@
-"""The load is the same for the same seed, and its counters arrive."""
+"""Tests of the seeded load, the declared deployments and the statsd counter sink."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 import socket
 
-from loadtool._chats import LATER_SECONDS, SOON_SECONDS, TIME_SCALE, pick_pause
+from loadtool._chats import LONG_PAUSE_S, SHORT_PAUSE_S, TIME_SCALE_FACTOR, choose_pause
 from loadtool._counters import open_sink
 from loadtool._deployments import DEPLOYMENTS
 from rhubarbbend.cli._declarations import read_declarations
@@ -14,15 +14,15 @@
 
 def test_most_chats_return_within_minutes_and_some_after_hours() -> None:
     rng = random.Random(3)
-    pauses = [pick_pause(rng) * TIME_SCALE for _ in range(2_000)]
-    soon = [pause for pause in pauses if pause <= SOON_SECONDS[1]]
+    pauses = [choose_pause(rng) * TIME_SCALE_FACTOR for _ in range(2_000)]
+    soon = [pause for pause in pauses if pause <= SHORT_PAUSE_S[1]]
     assert 0.8 < len(soon) / len(pauses) < 0.9
-    assert all(p >= LATER_SECONDS[0] for p in pauses if p > SOON_SECONDS[1])
+    assert all(p >= LONG_PAUSE_S[0] for p in pauses if p > SHORT_PAUSE_S[1])
     again = random.Random(3)
-    assert pauses == [pick_pause(again) * TIME_SCALE for _ in range(2_000)]
+    assert pauses == [choose_pause(again) * TIME_SCALE_FACTOR for _ in range(2_000)]
 
 
-def test_deployments_are_declared_with_their_accounts() -> None:
+def test_declarations_match_the_accounts_and_zones_of_each_deployment() -> None:
     for deployment in DEPLOYMENTS.values():
         declared = read_declarations(deployment.declarations)
         names = {name for kind, name in declared if kind == "account"}
