--- a/rhubarbbend/cli/_main.py
+++ b/rhubarbbend/cli/_main.py
@@ -46,7 +46,7 @@
         return ExitStatus.USAGE
     except SCHEMA.Conflict as conflict:
         print(
-            f"rhubarbbend: version {conflict.version} was already written by {conflict.author}; "
+            f"rhubarbbend: version {conflict.version} was taken by {conflict.author}; "
             "review the difference and try again",
             file=sys.stderr,
         )
