--- a/rhubarbbend/gateway/__init__.py
+++ b/rhubarbbend/gateway/__init__.py
@@ -1,7 +1,9 @@
-"""The gateway: an instance on a platform whose configuration, targets and callers come by adapter.
+"""The gateway: runs an instance of the fleet on a platform to which an adapter connects it.
 
-It serves callers and carries out what `core.placement`, `core.shares` and `core.delivery` decide.
-What is spoken with callers, targets and the store is behind the interfaces of `_interfaces`.
+An instance accepts requests from callers, sends each to a target and returns the target's answer.
+The decisions are made in `core.placement`, `core.shares` and `core.delivery`; this package carries
+them out. The protocols of callers, targets and the store belong to the adapter, which implements
+the interfaces of `_interfaces`.
 """
 
 from rhubarbbend.gateway._instance import Instance, serve
--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -1,4 +1,8 @@
-"""One attempt: a request at one target, from the connection to the end of its answer."""
+"""Runs one attempt: sends a request to one target and processes the answer to its end.
+
+Each attempt takes a connection, sends the request, waits for the answer and passes it to the caller
+or reports how the attempt failed. The request server decides whether another attempt follows.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +15,8 @@
 from rhubarbbend.core.directory import Target
 from rhubarbbend.core.placement import Choice
 from rhubarbbend.gateway._interfaces import TargetAnswer, TargetOrder, TargetProtocol
-from rhubarbbend.gateway._listening import StreamTimeoutPolicy, TargetListener
-from rhubarbbend.gateway._requests import KeptAnswer, OpenRequest
+from rhubarbbend.gateway._listening import StreamTimeoutPolicy, TargetLivenessMonitor
+from rhubarbbend.gateway._requests import BufferedAnswer, OpenRequest
 from rhubarbbend.gateway._state import Clock, State, read_clock
 from rhubarbbend.http import (
     REASON_TIMEOUT,
@@ -23,51 +27,62 @@
     SendStage,
 )
 
-# A target takes a connection within a round trip; one that has not in this time is down, cut off or
-# out of room, and its request can still be answered in time elsewhere.
-CONNECT_TIMEOUT: Final = 0.08
-# A request that may run once at most goes over a connection that was used within this time, or a
-# new one: on one that the target closes as the request arrives, nobody could tell whether it ran.
-# Some targets forget connections that rested for 0.3 s.
-PROVEN_SECONDS: Final = 0.2
-# A connection that breaks after a shorter rest than this did not break because it rested.
-LEAST_REST: Final = 0.1
-# Answers up to this size are held until they are whole, so that one cut short can be replaced.
-MAX_HELD_ANSWER: Final = 262_144
-# An answer that belongs to no request is read off a connection within this time.
-STRAY_TIMEOUT: Final = 0.5
-# Kept connections are closed this long before the target would, in seconds.
-IDLE_MARGIN: Final = 1.0
-# After these nothing more goes over a connection. A target that rejects a request may not have read
-# its body yet and may close while the next request is on its way, which would then fail unrun.
-UNSETTLED: Final = frozenset(
+# A healthy target accepts a connection within one round trip. One that does not within this time is
+# down, unreachable or out of capacity; another target can still answer the request in time.
+CONNECT_TIMEOUT_S: Final = 0.08
+# A request that is not idempotent is sent only over a connection that was used within this time, or
+# over a new one. If the target closes an idle connection just as the request arrives, it is unknown
+# whether the request ran. Some targets drop connections that were idle for 0.3 s.
+NON_IDEMPOTENT_MAX_IDLE_S: Final = 0.2
+# If a connection breaks after a shorter idle time than this, idleness was not the cause.
+MIN_IDLE_DEATH_S: Final = 0.1
+# Answers up to this size are buffered until they are complete, so that one that was truncated can
+# be replaced by another target's.
+MAX_BUFFERED_ANSWER_BYTES: Final = 262_144
+# Progress time-out for discarding an answer that does not belong to the current request.
+STRAY_ANSWER_TIMEOUT_S: Final = 0.5
+# Idle connections are closed this long before the target would close them.
+IDLE_MARGIN_S: Final = 1.0
+# After these outcomes the connection is not reused. A target that rejects a request may not have
+# read its body yet, and may close the connection while the next request is being sent; that request
+# would then fail although it was not run.
+NON_REUSABLE_OUTCOMES: Final = frozenset(
     {AttemptOutcome.BROKEN, AttemptOutcome.MISDIRECTED, AttemptOutcome.REJECTED}
 )
-# Statuses that promise a caller that its request did not and will not run.
-PROMISES: Final = frozenset({408, 421, 429, 503})
+# Statuses that guarantee to the caller that its request did not and will not run.
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 
 
-class BudgetSpent(Exception):
-    """A second send was due, and this instance's part of the retry budget is used up."""
+class RetryBudgetExhausted(Exception):
+    """A retry is needed, but this instance's share of the retry budget is exhausted."""
 
 
 class AttemptRunner:
-    """Runs attempts. Invariant: each is counted in the load tracker from its choice to its end."""
+    """Runs attempts.
+
+    Invariant: each attempt counts as load of its target from the choice of the target to its end.
+    """
 
     def __init__(
-        self, state: State, pool: ConnectionPool, protocol: TargetProtocol, clock: Clock
+        self, state: State, pool: ConnectionPool, target_protocol: TargetProtocol, clock: Clock
     ) -> None:
         self._state = state
         self._pool = pool
-        self._protocol = protocol
+        self._target_protocol = target_protocol
         self._clock = clock
         self._latencies = LatencyTracker()
-        self._listener = TargetListener(state, pool, CONNECT_TIMEOUT, clock)
-        # Told of a request that a target broke off before it answered; set by the instance.
+        self._liveness = TargetLivenessMonitor(state, pool, CONNECT_TIMEOUT_S, clock)
+        # Called when a target closed the connection of a request before answering it; set by the
+        # instance.
         self.crash_listener: Callable[[OpenRequest, Target], None] = lambda request, target: None
 
     async def run(self, request: OpenRequest, choice: Choice) -> AttemptOutcome:
-        """Send a request to a target; pass its answer on, or tell how it failed."""
+        """Send a request to the chosen target and return how the attempt ended.
+
+        A complete answer, and a stream as it arrives, is passed to the caller; an answer that
+        another target may improve on is stored in `request.fallback_answer`. Raise
+        `RetryBudgetExhausted` if this would be a retry and the budget does not allow it.
+        """
         target = choice.target
         request.attempt_target = target
         request.chosen_at = self._clock()
@@ -77,25 +92,27 @@
             connection = await self._connect(request, target)
             if connection is None:
                 return AttemptOutcome.UNREACHED
-            return await self._exchange(request, choice, connection)
+            return await self._send_and_receive(request, choice, connection)
         finally:
             self._state.loads.record_end(target.id)
 
     async def _connect(self, request: OpenRequest, target: Target) -> Connection | None:
         now = self._clock()
-        limit = None if request.route.idempotent else PROVEN_SECONDS
+        max_idle = None if request.route.idempotent else NON_IDEMPOTENT_MAX_IDLE_S
         health = self._state.health
         is_trial = health.begin_trial(target.id, now)
         try:
-            # Only a new connection shows whether a target that was lost is there again.
+            # Only a new connection shows whether an unreachable target is reachable again.
             connection = await self._pool.acquire(
-                target.address, now, is_trial, CONNECT_TIMEOUT, max_idle=limit
+                target.address, now, is_trial, CONNECT_TIMEOUT_S, max_idle=max_idle
             )
         except HttpFailure as failure:
             now = self._clock()
             timed_out = failure.reason == REASON_TIMEOUT
-            note = health.record_connect_timeout if timed_out else health.record_unreachable
-            held = note(target.id, now)
+            record_failure = (
+                health.record_connect_timeout if timed_out else health.record_unreachable
+            )
+            backoff_until = record_failure(target.id, now)
             if timed_out and health.is_unreachable(target.id):
                 self._state.note_lost(target, now)
             self._state.metrics.add(codes.RETRY_CONNECT)
@@ -105,73 +122,78 @@
                 target,
                 reason=failure.reason,
                 trial=is_trial,
-                held_for=round(max(0.0, held - now), 3),
+                held_for=round(max(0.0, backoff_until - now), 3),
             )
             return None
         if not connection.reused:
             health.record_connected(target.id, now)
         return connection
 
-    async def _exchange(
+    async def _send_and_receive(
         self, request: OpenRequest, choice: Choice, connection: Connection
     ) -> AttemptOutcome:
-        """Send over a connection and read the answer; the connection is kept if it is sound."""
+        """Send the request over a connection, process the answer and return the outcome.
+
+        The connection goes back to the pool if it can be reused.
+        """
         if request.progress.sends > 0:
-            self._take_retry(request, connection)
-        end = AttemptOutcome.BROKEN
+            self._acquire_retry(request, connection)
+        outcome = AttemptOutcome.BROKEN
         answer: TargetAnswer | None = None
-        self._listener.add(choice.target.id, connection)
+        self._liveness.add_connection(choice.target.id, connection)
         try:
             self._send(request, choice, connection)
             answer = await self._receive_head(request, choice.target, connection)
-            end = await self._receive_rest(request, choice.target, answer, connection)
+            outcome = await self._process_answer(request, choice.target, answer, connection)
         except HttpFailure as failure:
-            end = self._note_failure(request, choice.target, failure)
-            if answer is None and self._was_dead(request, choice.target, connection, failure):
-                # This says nothing of the target's health.
-                return end
+            outcome = self._handle_failure(request, choice.target, failure)
+            if answer is None and self._check_idle_death(
+                request, choice.target, connection, failure
+            ):
+                # This says nothing about the target's health.
+                return outcome
         finally:
-            self._listener.discard(choice.target.id, connection)
-            self._settle(connection, answer, end)
-        if end in (AttemptOutcome.REJECTED, AttemptOutcome.MISDIRECTED, AttemptOutcome.FAILED):
+            self._liveness.discard_connection(choice.target.id, connection)
+            self._release_or_close(connection, answer, outcome)
+        if outcome in (AttemptOutcome.REJECTED, AttemptOutcome.MISDIRECTED, AttemptOutcome.FAILED):
             self._log(
                 "attempt_ended",
                 request,
                 choice.target,
-                end=end.value,
+                end=outcome.value,
                 status=None if answer is None else answer.status,
                 held=None if answer is None else answer.held,
-                after=round(self._clock() - request.arrived, 4),
+                after=round(self._clock() - request.arrived_at, 4),
             )
-        self._note_health(choice.target, request, end)
-        return end
+        self._record_health(choice.target, request, outcome)
+        return outcome
 
     def _log(self, event: str, request: OpenRequest, target: Target, **fields: Any) -> None:
         now = self._clock()
         self._state.journal.write(event, now, id=request.id, target=target.id, **fields)
 
-    def _take_retry(self, request: OpenRequest, connection: Connection) -> None:
+    def _acquire_retry(self, request: OpenRequest, connection: Connection) -> None:
         instances = len(self._state.list_instances())
         share = self._state.find_retries(request.service.name)
         if not share.try_acquire(instances, self._clock()):
             self._pool.release(connection, self._clock())
-            raise BudgetSpent
+            raise RetryBudgetExhausted
 
     def _send(self, request: OpenRequest, choice: Choice, connection: Connection) -> None:
         now = self._clock()
         caller = request.caller
         order = TargetOrder(
             target=choice.target.id,
-            time_left=request.time_left(now),
+            time_left=request.compute_time_left(now),
             account="" if request.account is None else request.account.name,
             priority=request.priority,
             resume_after=request.relay.last_id,
             source=None if choice.source is None else choice.source.address,
         )
-        headers = self._protocol.make_headers(caller, order)
+        headers = self._target_protocol.make_headers(caller, order)
         connection.send_raw(caller.method, caller.target, headers, caller.body)
         request.sent_at = now
-        request.relay.has_begun = False
+        request.relay.has_received_event = False
         self._state.placement.record_sent(choice, caller.prompt, request.chosen_at, now)
         self._log(
             "sent",
@@ -188,91 +210,98 @@
             prompt=None if caller.prompt is None else caller.prompt.affinity_key,
             shared=None if caller.prompt is None else caller.prompt.shared_tokens,
             reused=connection.reused,
-            config=request.version,
-            time_left=round(request.time_left(now), 3),
+            config=request.config_version,
+            time_left=round(request.compute_time_left(now), 3),
             resume_after=request.relay.last_id or None,
         )
 
     async def _receive_head(
         self, request: OpenRequest, target: Target, connection: Connection
     ) -> TargetAnswer:
-        """Wait for the answer to this request; others that come before it belong to nobody."""
+        """Return the head of the answer to this request.
+
+        Answers that arrive before it and belong to other requests are discarded.
+        """
         while True:
-            response = await self._await_head(request, target, connection)
-            answer = self._protocol.read_answer(response)
+            response = await self._receive_next_head(request, target, connection)
+            answer = self._target_protocol.read_answer(response)
             if answer.request == request.id or answer.misdirected:
                 break
             self._state.metrics.add(codes.WRONG_ID)
             self._log("stray_answer", request, target, carried=answer.request)
             if not answer.request:
-                raise HttpFailure(SendStage.RESPONSE, "the answer carries no id")
-            await connection.discard_response(STRAY_TIMEOUT)
+                raise HttpFailure(SendStage.RESPONSE, "the answer carries no request id")
+            await connection.discard_response(STRAY_ANSWER_TIMEOUT_S)
         if answer.held is not None:
-            self._take_word(request, target, answer.held)
+            self._record_load_report(request, target, answer.held)
         return answer
 
-    def _take_word(self, request: OpenRequest, target: Target, held: int) -> None:
-        """Take in what a target says of its load, and count what the estimate lacked."""
+    def _record_load_report(self, request: OpenRequest, target: Target, held: int) -> None:
+        """Record the load that a target reports, and count by how much it was underestimated."""
         now = self._clock()
-        is_told = request.service.engine is not None
-        unseen = held - round(self._state.loads.estimate(target.id, is_told, now))
+        has_peer_counts = request.service.engine is not None
+        underestimate = held - round(self._state.loads.estimate(target.id, has_peer_counts, now))
         self._state.metrics.add(codes.LOAD_REPORTS_IN_ANSWERS)
-        self._state.metrics.add(codes.LOAD_UNDERESTIMATED, max(0, unseen))
+        self._state.metrics.add(codes.LOAD_UNDERESTIMATED, max(0, underestimate))
         self._state.loads.record_report(target.id, held, now)
 
-    async def _await_head(
+    async def _receive_next_head(
         self, request: OpenRequest, target: Target, connection: Connection
     ) -> Response:
-        """Wait for the next head, for as long as the request may be silent at this target.
+        """Return the next response head, or raise `HttpFailure` if the target is silent too long.
 
-        What cannot be sent elsewhere is waited for until its own deadline settles it.
+        A request that cannot be retried at another target waits until its own deadline ends it.
         """
-        if not _may_move(request):
-            return await connection.receive_head(_compute_rest(request, self._clock()))
+        if not _can_retry_elsewhere(request):
+            return await connection.receive_head(_compute_backstop_timeout(request, self._clock()))
         timeout_policy = self._make_timeout_policy(request, target)
-        began = self._clock()
+        started_at = self._clock()
         while True:
-            more = timeout_policy.compute_remaining_s(self._clock() - began)
+            timeout = timeout_policy.compute_remaining_s(self._clock() - started_at)
             try:
-                return await connection.receive_head(more)
+                return await connection.receive_head(timeout)
             except HttpFailure as failure:
-                # The system, too, says "time-out" of a connection that it has given up.
+                # The operating system also reports a time-out when it gives up a connection; that
+                # connection is closed.
                 is_silent = failure.reason == REASON_TIMEOUT and not connection.closed
                 if (
                     not is_silent
-                    or timeout_policy.compute_remaining_s(self._clock() - began) <= 0.0
+                    or timeout_policy.compute_remaining_s(self._clock() - started_at) <= 0.0
                 ):
                     raise
 
     def _make_timeout_policy(self, request: OpenRequest, target: Target) -> StreamTimeoutPolicy:
-        return StreamTimeoutPolicy(request, target, self._listener, self._latencies, self._clock)
+        return StreamTimeoutPolicy(request, target, self._liveness, self._latencies, self._clock)
 
-    async def _receive_rest(
+    async def _process_answer(
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
     ) -> AttemptOutcome:
         if answer.misdirected:
-            await _read_all(connection, request)
+            await _read_body(connection, request)
             return AttemptOutcome.MISDIRECTED
         if answer.not_run:
-            await _read_all(connection, request)
+            await _read_body(connection, request)
             return AttemptOutcome.REJECTED
-        if not answer.genuine or answer.status in PROMISES:
-            # It ran, or may have: passed on, its status would promise that it did not.
-            raise HttpFailure(SendStage.RESPONSE, f"no answer of its own, status {answer.status}")
+        if not answer.genuine or answer.status in NOT_RUN_STATUSES:
+            # The request ran or may have run; the caller would take the status for a guarantee that
+            # it did not.
+            raise HttpFailure(
+                SendStage.RESPONSE, f"not a valid answer of this target, status {answer.status}"
+            )
         if request.route.kind is RequestKind.STREAM and answer.status < 300:
             return await self._relay_stream(request, target, answer, connection)
         if request.progress.started:
-            # The caller has the head of a stream, which no other answer can go on.
-            reason = f"status {answer.status} in place of the rest of a stream"
+            # The caller already has the head of a stream, which no other answer can continue.
+            reason = f"status {answer.status} instead of the rest of a stream"
             raise HttpFailure(SendStage.RESPONSE, reason)
-        body = await _read_all(connection, request)
+        body = await _read_body(connection, request)
         if body is None:
-            raise HttpFailure(SendStage.RESPONSE, "the answer is too large to hold")
+            raise HttpFailure(SendStage.RESPONSE, "the answer is too large to buffer")
         failed = answer.status >= 500
-        if failed and _may_move(request) and self._has_retry_left(request):
-            request.kept_answer = KeptAnswer(answer, body)
+        if failed and _can_retry_elsewhere(request) and self._has_retry_left(request):
+            request.fallback_answer = BufferedAnswer(answer, body)
             return AttemptOutcome.FAILED
-        pass_on(request, KeptAnswer(answer, body))
+        send_answer(request, BufferedAnswer(answer, body))
         return AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED
 
     def _has_retry_left(self, request: OpenRequest) -> bool:
@@ -284,22 +313,27 @@
         self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
     ) -> AttemptOutcome:
         relay = request.relay
-        resumed = request.answer is not None and relay.started
-        if not resumed:
+        is_resumed = request.answer is not None and relay.started
+        if not is_resumed:
             request.answer = answer
         sent_at = request.sent_at
 
-        def note_begun() -> None:
+        def record_first_event() -> None:
             self._latencies.record_first_event(request.route, self._clock() - sent_at)
             connection.reset_longest_receive_gap()
 
-        relay.begin_run(resumed, note_begun)
-        # A stream that cannot be resumed is lost if it is given up, so it is waited for.
-        rest = _compute_rest(request, self._clock())
-        timeout_policy = self._make_timeout_policy(request, target) if _may_move(request) else rest
+        relay.begin_response(is_resumed, record_first_event)
+        # A stream that cannot be resumed would be lost if it were given up, so it may take until
+        # the request's deadline.
+        backstop = _compute_backstop_timeout(request, self._clock())
+        timeout_policy = (
+            self._make_timeout_policy(request, target)
+            if _can_retry_elsewhere(request)
+            else backstop
+        )
         await connection.relay_body(relay, timeout_policy)
-        if not relay.is_whole():
-            raise HttpFailure(SendStage.RESPONSE, "the stream ended within an event")
+        if not relay.is_complete():
+            raise HttpFailure(SendStage.RESPONSE, "the stream ended in the middle of an event")
         self._latencies.record_longest_pause(request.route, connection.longest_receive_gap_s)
         if not relay.started:
             request.answer = answer
@@ -308,7 +342,7 @@
         request.exchange.finish()
         return AttemptOutcome.ANSWERED
 
-    def _note_failure(
+    def _handle_failure(
         self, request: OpenRequest, target: Target, failure: HttpFailure
     ) -> AttemptOutcome:
         self._log(
@@ -317,7 +351,7 @@
             target,
             stage=failure.stage.value,
             reason=failure.reason,
-            after=round(self._clock() - request.arrived, 4),
+            after=round(self._clock() - request.arrived_at, 4),
             last_event=request.relay.last_id or None,
         )
         if failure.stage is SendStage.CONNECT:
@@ -326,15 +360,15 @@
             self.crash_listener(request, target)
         return AttemptOutcome.BROKEN
 
-    def _was_dead(
+    def _check_idle_death(
         self, request: OpenRequest, target: Target, connection: Connection, failure: HttpFailure
     ) -> bool:
-        """Whether a request met a connection that had died while it was idle.
+        """Return whether the attempt failed because the connection had died while it was idle.
 
-        Each lowers the time for which connections to the target may rest, so that a target that
-        breaks off connections of any age is found out by the next new one.
+        Each such failure lowers the allowed idle time of connections to the target. A target that
+        closes connections of any age is therefore detected at the next new connection.
         """
-        if connection.idle_time_s < LEAST_REST or failure.stage is not SendStage.SENT:
+        if connection.idle_time_s < MIN_IDLE_DEATH_S or failure.stage is not SendStage.SENT:
             return False
         if failure.reason == REASON_TIMEOUT:
             return False
@@ -343,58 +377,64 @@
         self._log("idle_connection_dead", request, target, rested=round(connection.idle_time_s, 3))
         return True
 
-    def _settle(
-        self, connection: Connection, answer: TargetAnswer | None, end: AttemptOutcome
+    def _release_or_close(
+        self, connection: Connection, answer: TargetAnswer | None, outcome: AttemptOutcome
     ) -> None:
-        """Keep a connection whose answer was read whole; close every other, which ends its work."""
-        if answer is None or answer.closes or end in UNSETTLED:
+        """Return the connection to the pool if the answer was read completely, else close it.
+
+        Closing it makes the target end its work on the request.
+        """
+        if answer is None or answer.closes or outcome in NON_REUSABLE_OUTCOMES:
             connection.close()
             return
         if answer.idle_limit is not None:
-            connection.idle_timeout_s = answer.idle_limit - IDLE_MARGIN
+            connection.idle_timeout_s = answer.idle_limit - IDLE_MARGIN_S
         self._pool.release(connection, self._clock())
 
-    def _note_health(self, target: Target, request: OpenRequest, end: AttemptOutcome) -> None:
+    def _record_health(self, target: Target, request: OpenRequest, outcome: AttemptOutcome) -> None:
         now = self._clock()
         health = self._state.health
-        if end is AttemptOutcome.MISDIRECTED:
+        if outcome is AttemptOutcome.MISDIRECTED:
             health.record_unreachable(target.id, now)
             return
-        health.record_response(target.id, end is not AttemptOutcome.ANSWERED, now)
-        if end is AttemptOutcome.ANSWERED:
+        health.record_response(target.id, outcome is not AttemptOutcome.ANSWERED, now)
+        if outcome is AttemptOutcome.ANSWERED:
             self._state.crashes.clear(request.digest)
 
 
-def _may_move(request: OpenRequest) -> bool:
-    """Whether a request that may have run here can be sent to one more target."""
+def _can_retry_elsewhere(request: OpenRequest) -> bool:
+    """Return whether a request that may have run here can be sent to one more target."""
     route = request.route
     return route.idempotent and request.progress.targets + 1 < route.max_attempts
 
 
-def _compute_rest(request: OpenRequest, now: float) -> float:
-    """Give a time-out that ends after the request's own deadline, which settles it first."""
-    return max(0.0, request.time_left(now)) + 1.0
+def _compute_backstop_timeout(request: OpenRequest, now: float) -> float:
+    """Return a time-out, in seconds, that ends after the request's own deadline.
+
+    The deadline is enforced elsewhere and ends the request first.
+    """
+    return max(0.0, request.compute_time_left(now)) + 1.0
 
 
-def pass_on(request: OpenRequest, kept: KeptAnswer) -> None:
-    """Give the caller a whole answer of a target."""
+def send_answer(request: OpenRequest, answer: BufferedAnswer) -> None:
+    """Send a target's complete answer to the caller."""
     exchange = request.exchange
     request.progress.started = True
-    request.answer = kept.head
-    length = (b"Content-Length", str(len(kept.body)).encode("ascii"))
-    exchange.start_raw(kept.head.status, [*kept.head.headers, length])
+    request.answer = answer.head
+    length = (b"Content-Length", str(len(answer.body)).encode("ascii"))
+    exchange.start_raw(answer.head.status, [*answer.head.headers, length])
     if exchange.method != "HEAD":
-        exchange.write(kept.body)
+        exchange.write(answer.body)
     exchange.finish()
 
 
-async def _read_all(connection: Connection, request: OpenRequest) -> bytes | None:
-    """Read a body; None if it is larger than what is held."""
+async def _read_body(connection: Connection, request: OpenRequest) -> bytes | None:
+    """Return the body of an answer, None if it is larger than `MAX_BUFFERED_ANSWER_BYTES`."""
     parts: list[bytes] = []
     size = 0
-    async for part in connection.receive_body(_compute_rest(request, read_clock())):
+    async for part in connection.receive_body(_compute_backstop_timeout(request, read_clock())):
         size += len(part)
-        if size > MAX_HELD_ANSWER:
+        if size > MAX_BUFFERED_ANSWER_BYTES:
             return None
         parts.append(part)
     return b"".join(parts)
--- a/rhubarbbend/gateway/_crash_watch.py
+++ b/rhubarbbend/gateway/_crash_watch.py
@@ -1,4 +1,8 @@
-"""Finds out whether a target that broke a connection off has crashed, and blames the request."""
+"""Detects whether a target that closed a connection has crashed, and attributes it to the request.
+
+Confirmed crashes are recorded by request digest and sent to the other instances, so that a request
+that crashes targets is refused everywhere.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +17,22 @@
 from rhubarbbend.gateway._state import CrashNote, Note, State, read_clock
 from rhubarbbend.http import Connection, HttpFailure
 
-# A target that broke a connection off is looked at after so many seconds: a process that ends
-# may take one more connection while its others are being closed.
-CRASH_CHECK_DELAY: Final = 0.1
-CRASH_CHECK_TIMEOUT: Final = 0.2
-# Targets that are lost within so many seconds of one another are cut off rather than crashed.
-CRASH_CHECK_WINDOW: Final = 0.4
+# A target that closed a connection before answering is checked after this delay, since a process
+# that ends may still accept a connection while its others are being closed.
+CRASH_CHECK_DELAY_S: Final = 0.1
+CRASH_CHECK_TIMEOUT_S: Final = 0.2
+# If several targets become unreachable within this time, the cause is a network failure rather than
+# a crash.
+SIMULTANEOUS_LOSS_WINDOW_S: Final = 0.4
 
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
 class CrashWatch:
-    """Looks at targets after they broke a connection off. Invariant: no request waits for it."""
+    """Checks targets that closed the connection of a request before answering it.
+
+    Invariant: no request waits for a check; each runs as a task of its own.
+    """
 
     def __init__(self, state: State, peers: PeerClient, spawn: Spawn) -> None:
         self._state = state
@@ -32,31 +40,32 @@
         self._spawn = spawn
 
     def suspect(self, request: OpenRequest, target: Target) -> None:
-        """Take in that a target broke off a request that it had not answered."""
-        self._spawn(self._confirm(request.id, request.digest, target))
+        """Start a check of a target that closed the connection of a request before answering it."""
+        self._spawn(self._check_for_crash(request.id, request.digest, target))
 
-    async def _confirm(self, request: str, digest: str, target: Target) -> None:
-        """Count a crash if the target that broke a connection off takes no new one.
+    async def _check_for_crash(self, request: str, digest: str, target: Target) -> None:
+        """Record a crash if the target does not accept a new connection.
 
-        Connections are reset for many reasons; blaming the request for each of them would refuse
-        sound requests after two. Nor can one request have lost several targets at once.
+        Connections are reset for many reasons. If each reset counted against its request, valid
+        requests would be refused after two. No crash is recorded either if several targets became
+        unreachable at once, since a single request cannot have caused that.
         """
         state = self._state
-        await asyncio.sleep(CRASH_CHECK_DELAY)
+        await asyncio.sleep(CRASH_CHECK_DELAY_S)
         try:
-            connection = await Connection.open(target.address, CRASH_CHECK_TIMEOUT)
+            connection = await Connection.open(target.address, CRASH_CHECK_TIMEOUT_S)
             connection.close()
             return
         except HttpFailure as failure:
             reason = failure.reason
         state.health.record_unreachable(target.id, read_clock())
-        # Others that went at the same time are found out by now.
-        await asyncio.sleep(CRASH_CHECK_DELAY)
+        # After this delay, other targets that failed at the same time are known to be unreachable.
+        await asyncio.sleep(CRASH_CHECK_DELAY_S)
         now = read_clock()
-        lost = state.health.count_unreachable_since(now - CRASH_CHECK_WINDOW)
-        if lost > 1:
+        unreachable = state.health.count_unreachable_since(now - SIMULTANEOUS_LOSS_WINDOW_S)
+        if unreachable > 1:
             state.journal.write(
-                "crash_doubted", now, id=request, target=target.id, lost_together=lost
+                "crash_doubted", now, id=request, target=target.id, lost_together=unreachable
             )
             return
         if state.crashes.record_crash(digest, target.id, now):
--- a/rhubarbbend/gateway/_journal.py
+++ b/rhubarbbend/gateway/_journal.py
@@ -1,7 +1,8 @@
-"""Structured log lines on standard output, bounded in volume, never waiting for their reader.
+"""Writes the structured log to standard output, one JSON object per line.
 
-One JSON object a line. msgspec writes them: eliot, which the other shell uses, brings 55 modules
-and 3.0 MB of resident memory, a tenth of what an instance here uses in all.
+The rate of lines is limited, and writing never blocks on a slow reader. The lines are encoded with
+msgspec: eliot, which rhubarbbend.shell uses, loads 55 modules and takes 3.0 MB of resident memory,
+a tenth of what an instance of the gateway uses in total.
 """
 
 from __future__ import annotations
@@ -14,51 +15,56 @@
 
 import msgspec
 
-# Lines that wait for a reader that is slow; at about 300 bytes a line this is 0.6 MB.
-MAX_WAITING: Final = 2_000
-# A burst of lines, and lines a second after it; a request takes two or three.
-BURST: Final = 1_000.0
-RATE: Final = 300.0
+# Lines queued for a slow reader; at about 300 bytes a line this is 0.6 MB.
+MAX_QUEUED_LINES: Final = 2_000
+# Token bucket that limits the rate: the largest burst, and the sustained rate. A request writes two
+# or three lines.
+MAX_BURST_LINES: Final = 1_000.0
+LINES_PER_S: Final = 300.0
 
 
 class Journal:
-    """Writes log lines. Invariant: `write` never blocks; what is left out is counted and told."""
+    """Writes log lines.
+
+    Invariant: `write` never blocks. Lines that exceed the limits are dropped; `dropped` counts
+    them, and a `lines_dropped` line with their number precedes the next line that is written.
+    """
 
     def __init__(self, instance: str, descriptor: int = 1) -> None:
         self._instance = instance
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._room = BURST
-        self._filled_at = 0.0
+        self._queue: deque[bytes] = deque()
+        self._tokens = MAX_BURST_LINES
+        self._refilled_at = 0.0
         self.dropped = 0
-        self._told = 0
-        self._waits_for_reader = False
+        self._reported_dropped = 0
+        self._is_writer_registered = False
         os.set_blocking(descriptor, False)
 
     def write(self, event: str, now: float, **fields: Any) -> None:
-        """Write a line about something that happened at a local time."""
-        if not self._take_room(now):
+        """Write a line about an event; `now` is its time by the event loop's clock."""
+        if not self._acquire_token(now):
             self.dropped += 1
             return
-        if self.dropped > self._told:
-            lost = self.dropped - self._told
-            self._told = self.dropped
-            self._put("lines_dropped", now, {"count": lost})
-        self._put(event, now, fields)
+        if self.dropped > self._reported_dropped:
+            newly_dropped = self.dropped - self._reported_dropped
+            self._reported_dropped = self.dropped
+            self._enqueue("lines_dropped", now, {"count": newly_dropped})
+        self._enqueue(event, now, fields)
 
     def close(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write the queued lines, as far as the reader accepts them without blocking."""
         self._flush()
 
-    def _take_room(self, now: float) -> bool:
-        self._room = min(BURST, self._room + (now - self._filled_at) * RATE)
-        self._filled_at = now
-        if self._room < 1.0 or len(self._waiting) >= MAX_WAITING:
+    def _acquire_token(self, now: float) -> bool:
+        self._tokens = min(MAX_BURST_LINES, self._tokens + (now - self._refilled_at) * LINES_PER_S)
+        self._refilled_at = now
+        if self._tokens < 1.0 or len(self._queue) >= MAX_QUEUED_LINES:
             return False
-        self._room -= 1.0
+        self._tokens -= 1.0
         return True
 
-    def _put(self, event: str, now: float, fields: dict[str, Any]) -> None:
+    def _enqueue(self, event: str, now: float, fields: dict[str, Any]) -> None:
         line = {
             "event": event,
             "time": round(time.time(), 4),
@@ -66,39 +72,40 @@
             "instance": self._instance,
             **fields,
         }
-        self._waiting.append(msgspec.json.encode(line) + b"\n")
-        if not self._waits_for_reader:
+        self._queue.append(msgspec.json.encode(line) + b"\n")
+        if not self._is_writer_registered:
             self._flush()
 
     def _flush(self) -> None:
-        while self._waiting:
-            line = self._waiting[0]
+        while self._queue:
+            line = self._queue[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
-                self._wait_for_reader()
+                self._register_writer()
                 return
             except OSError:
-                # Nobody reads any more; the instance goes on without its log.
-                self._waiting.clear()
+                # The reader has closed the pipe; the instance continues without a log.
+                self._queue.clear()
                 return
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._queue[0] = line[written:]
             else:
-                self._waiting.popleft()
-        self._stop_waiting()
+                self._queue.popleft()
+        self._unregister_writer()
 
-    def _wait_for_reader(self) -> None:
-        if self._waits_for_reader:
+    def _register_writer(self) -> None:
+        if self._is_writer_registered:
             return
         try:
             asyncio.get_running_loop().add_writer(self._descriptor, self._flush)
-            self._waits_for_reader = True
+            self._is_writer_registered = True
         except (RuntimeError, OSError):
-            # Without a running loop, or for a plain file, the next line tries again.
-            self._waits_for_reader = False
+            # There is no running event loop, or the output is a regular file. The next line is
+            # written together with the queued ones.
+            self._is_writer_registered = False
 
-    def _stop_waiting(self) -> None:
-        if self._waits_for_reader:
+    def _unregister_writer(self) -> None:
+        if self._is_writer_registered:
             asyncio.get_running_loop().remove_writer(self._descriptor)
-            self._waits_for_reader = False
+            self._is_writer_registered = False
--- a/rhubarbbend/gateway/_listening.py
+++ b/rhubarbbend/gateway/_listening.py
@@ -1,4 +1,8 @@
-"""Listens to targets: what was heard from each, and when a silent one is given up."""
+"""Monitors the liveness of targets while answers are awaited from them.
+
+`TargetLivenessMonitor` records when data last arrived from each target and probes silent ones.
+`StreamTimeoutPolicy` uses it to decide when a request gives up a silent target.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +17,15 @@
 from rhubarbbend.gateway._state import Clock, State
 from rhubarbbend.http import BodyTimeoutPolicy, Connection, ConnectionPool, HttpFailure
 
-# For so long after it took a connection a target is not asked again.
-VOUCHED: Final = 0.5
+# For this long after it accepted a probe connection, a target counts as alive and is not probed.
+PROBE_VALIDITY_S: Final = 0.5
 
 
-class TargetListener:
-    """Knows when a target was heard last, and asks silent ones for a connection.
+class TargetLivenessMonitor:
+    """Tracks when data last arrived from each target, and probes silent targets.
 
-    Invariant: one question at a time is under way to a target.
+    A probe opens a connection to the target. Invariant: at most one probe per target is in
+    progress.
     """
 
     def __init__(
@@ -30,55 +35,65 @@
         self._pool = pool
         self._connect_timeout = connect_timeout
         self._clock = clock
-        self._open: dict[str, set[Connection]] = {}
-        self._questions: dict[str, asyncio.Task[None]] = {}
-        # Until when the connection that a target took says that it is there.
-        self._vouched_until: dict[str, float] = {}
-        self._lost_at: dict[str, float] = {}
-
-    def add(self, target: str, connection: Connection) -> None:
-        """Note that an answer is awaited on a connection."""
-        self._open.setdefault(target, set()).add(connection)
-
-    def discard(self, target: str, connection: Connection) -> None:
-        """Note that it is not any more."""
-        connections = self._open.get(target)
+        self._awaiting_answer: dict[str, set[Connection]] = {}
+        self._probes: dict[str, asyncio.Task[None]] = {}
+        # Until when a target counts as alive because it accepted a probe connection.
+        self._alive_until: dict[str, float] = {}
+        self._probe_failed_at: dict[str, float] = {}
+
+    def add_connection(self, target: str, connection: Connection) -> None:
+        """Record that an answer is awaited on a connection to a target."""
+        self._awaiting_answer.setdefault(target, set()).add(connection)
+
+    def discard_connection(self, target: str, connection: Connection) -> None:
+        """Record that no answer is awaited on a connection any longer."""
+        connections = self._awaiting_answer.get(target)
         if connections is None:
             return
         connections.discard(connection)
         if not connections:
-            del self._open[target]
-            self._vouched_until.pop(target, None)
-            self._lost_at.pop(target, None)
+            del self._awaiting_answer[target]
+            self._alive_until.pop(target, None)
+            self._probe_failed_at.pop(target, None)
+
+    def find_last_contact(self, target: str, now: float) -> float:
+        """Return when data last arrived from a target on a connection that awaits an answer.
 
-    def find_last_heard(self, target: str, now: float) -> float:
-        """Give when anything came last from a target that answers are awaited of."""
-        if now < self._vouched_until.get(target, -math.inf):
+        A recent successful probe counts as contact at `now`. Return minus infinity if no answer is
+        awaited from the target.
+        """
+        if now < self._alive_until.get(target, -math.inf):
             return now
-        times = (connection.last_received_at for connection in self._open.get(target, ()))
+        times = (
+            connection.last_received_at for connection in self._awaiting_answer.get(target, ())
+        )
         return max(times, default=-math.inf)
 
-    def is_lost(self, target: str) -> bool:
-        """Whether a target took no connection when it was asked, and was not heard since."""
-        lost_at = self._lost_at.get(target)
-        return lost_at is not None and self.find_last_heard(target, lost_at) < lost_at
+    def has_failed_probe(self, target: str) -> bool:
+        """Return whether the last probe of a target failed and no data has arrived since."""
+        failed_at = self._probe_failed_at.get(target)
+        return failed_at is not None and self.find_last_contact(target, failed_at) < failed_at
+
+    def start_probe(self, target: Target) -> None:
+        """Start a probe of a target unless one is in progress.
 
-    def ask(self, target: Target) -> None:
-        """Ask a target for a connection, which the next request can use."""
-        if target.id not in self._questions:
-            question = asyncio.get_running_loop().create_task(self._ask(target))
-            self._questions[target.id] = question
-            question.add_done_callback(lambda _: self._questions.pop(target.id))
+        A successful probe adds its connection to the pool, where the next request can use it.
+        """
+        if target.id not in self._probes:
+            probe = asyncio.get_running_loop().create_task(self._run_probe(target))
+            self._probes[target.id] = probe
+            probe.add_done_callback(lambda _: self._probes.pop(target.id))
 
-    async def _ask(self, target: Target) -> None:
+    async def _run_probe(self, target: Target) -> None:
         self._state.metrics.add(codes.SILENT_TARGETS_PROBED)
         try:
             connection = await Connection.open(target.address, self._connect_timeout)
         except HttpFailure as failure:
             now = self._clock()
-            if target.id in self._open:
-                self._lost_at[target.id] = now
-            # Silence and a connection that is not taken say together what one of them may not.
+            if target.id in self._awaiting_answer:
+                self._probe_failed_at[target.id] = now
+            # Either silence or a failed connection alone may have another cause; both together show
+            # that the target is unreachable.
             self._state.health.record_unreachable(target.id, now)
             self._state.note_lost(target, now)
             self._pool.close_idle_to(target.address)
@@ -87,38 +102,48 @@
             )
             return
         now = self._clock()
-        if target.id in self._open:
-            self._vouched_until[target.id] = now + VOUCHED
-        self._lost_at.pop(target.id, None)
+        if target.id in self._awaiting_answer:
+            self._alive_until[target.id] = now + PROBE_VALIDITY_S
+        self._probe_failed_at.pop(target.id, None)
         self._state.health.record_connected(target.id, now)
         connection.idle_since = now
         self._pool.add_idle(connection)
 
 
 class StreamTimeoutPolicy(BodyTimeoutPolicy):
-    """How long one run of a stream is waited for: its first event, then each next one."""
+    """Decides how long to wait for a target's answer: for its first event, then for each next one.
+
+    It applies to one attempt; an answer that is not a stream is awaited like a first event.
+    """
 
     def __init__(
         self,
         request: OpenRequest,
         target: Target,
-        listener: TargetListener,
+        liveness: TargetLivenessMonitor,
         latencies: LatencyTracker,
         clock: Clock,
     ) -> None:
         self._relay = request.relay
         self._target = target
-        self._listener = listener
-        self._first = latencies.compute_first_event_timeouts(request.route)
-        self._pause = latencies.compute_pause_timeouts(request.route)
+        self._liveness = liveness
+        self._first_event_timeouts = latencies.compute_first_event_timeouts(request.route)
+        self._pause_timeouts = latencies.compute_pause_timeouts(request.route)
         self._clock = clock
 
     def compute_remaining_s(self, silence: float) -> float:
-        """Give for how many seconds more to wait; 0: not any longer."""
+        """Return how many more seconds to wait after `silence` seconds; 0 to give up.
+
+        The target is probed if the time-outs demand it.
+        """
         now = self._clock()
-        timeouts = self._pause if self._relay.has_begun else self._first
-        heard_ago = now - self._listener.find_last_heard(self._target.id, now)
-        wait = timeouts.decide(silence, heard_ago, self._listener.is_lost(self._target.id))
-        if wait.probe:
-            self._listener.ask(self._target)
-        return wait.seconds
+        timeouts = (
+            self._pause_timeouts if self._relay.has_received_event else self._first_event_timeouts
+        )
+        contact_age = now - self._liveness.find_last_contact(self._target.id, now)
+        decision = timeouts.decide(
+            silence, contact_age, self._liveness.has_failed_probe(self._target.id)
+        )
+        if decision.probe:
+            self._liveness.start_probe(self._target)
+        return decision.seconds
--- a/rhubarbbend/gateway/_requests.py
+++ b/rhubarbbend/gateway/_requests.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is being served."""
+"""The state of one caller's request while it is being served."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 from rhubarbbend.http import Exchange
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
-    """A target's whole answer, held until it is decided whether the caller gets it."""
+class BufferedAnswer(msgspec.Struct, frozen=True):
+    """A target's complete answer, buffered until it is decided whether the caller gets it."""
 
     head: TargetAnswer
     body: bytes
 
 
 class OpenRequest:
-    """A request, where it may go, and what has become of it.
+    """One request of a caller, with its route and the state of its delivery.
 
-    Times are the loop's. Invariant: `answer` is the head that the caller has been given or will
-    be; it stays that of the first target when a stream is resumed at another.
+    All times are the event loop's, in seconds. Invariant: `answer` is the head that the caller has
+    received or will receive; when a stream is resumed at another target, it stays the head of the
+    first one.
     """
 
     __slots__ = (
@@ -34,19 +35,19 @@
         "route",
         "service",
         "account",
-        "arrived",
+        "arrived_at",
         "deadline",
         "progress",
         "excluded",
         "digest",
         "relay",
         "answer",
-        "kept_answer",
+        "fallback_answer",
         "attempt_target",
         "chosen_at",
         "sent_at",
-        "shut",
-        "version",
+        "rejection_counts",
+        "config_version",
     )
 
     def __init__(
@@ -56,56 +57,56 @@
         route: Route,
         service: Service,
         account: ClientAccount | None,
-        arrived: float,
-        version: int,
+        arrived_at: float,
+        config_version: int,
     ) -> None:
         self.caller = caller
         self.exchange = exchange
         self.route = route
         self.service = service
         self.account = account
-        self.arrived = arrived
-        limit = route.timeout if caller.time_limit is None else caller.time_limit
-        self.deadline = arrived + min(limit, route.timeout)
+        self.arrived_at = arrived_at
+        time_limit = route.timeout if caller.time_limit is None else caller.time_limit
+        self.deadline = arrived_at + min(time_limit, route.timeout)
         self.progress = Progress()
         self.excluded: set[str] = set()
-        self.digest = _digest(caller)
-        self.relay = EventRelay(exchange, self._start_answer, caller.resume_after)
+        self.digest = _compute_digest(caller)
+        self.relay = EventRelay(exchange, self._send_head, caller.resume_after)
         self.answer: TargetAnswer | None = None
-        # A failure of a target's own, for the caller if no other target can do better.
-        self.kept_answer: KeptAnswer | None = None
+        # An error answer that a target itself sent; the caller gets it if no other target succeeds.
+        self.fallback_answer: BufferedAnswer | None = None
         self.attempt_target: Target | None = None
-        self.chosen_at = arrived
-        self.sent_at = arrived
-        # Why no target could be chosen, by number of targets.
-        self.shut: dict[str, int] | None = None
-        self.version = version
+        self.chosen_at = arrived_at
+        self.sent_at = arrived_at
+        # If no target could be chosen: the number of targets rejected, by reason.
+        self.rejection_counts: dict[str, int] | None = None
+        self.config_version = config_version
 
     @property
     def id(self) -> str:
-        """The id of the caller's try."""
+        """The request id; the caller uses a new one for each of its own retries."""
         return self.caller.id
 
     @property
     def priority(self) -> int:
-        """How urgent it is; 0 goes first. An account's own rank goes before its route's."""
+        """The priority, 0 the highest; an account's own priority overrides that of the route."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
-    def time_left(self, now: float) -> float:
-        """Give the seconds left to answer in."""
+    def compute_time_left(self, now: float) -> float:
+        """Return how many seconds are left until the deadline."""
         return self.deadline - now
 
-    def _start_answer(self) -> None:
-        """Give the caller the head of a stream, with its first event."""
+    def _send_head(self) -> None:
+        """Send the head of a stream to the caller, just before its first event."""
         assert self.answer is not None
         self.progress.started = True
         self.exchange.start_raw(self.answer.status, self.answer.headers)
 
 
-def _digest(caller: CallerRequest) -> str:
-    """Name a request by what is the same when its caller sends it again."""
+def _compute_digest(caller: CallerRequest) -> str:
+    """Return a digest of what stays the same when the caller sends the request again."""
     digest = hashlib.blake2b(caller.body, digest_size=12)
     digest.update(b"\0".join((caller.method, caller.target, caller.key.encode())))
     return digest.hexdigest()
--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_serving.py
@@ -1,4 +1,8 @@
-"""Serves callers: from a request's arrival to its one final answer."""
+"""Serves the requests of callers, each from its arrival to its final answer.
+
+`RequestServer` checks the request, chooses targets for it, runs attempts at them until one yields
+the answer, and otherwise refuses the request with an error.
+"""
 
 from __future__ import annotations
 
@@ -11,90 +15,97 @@
 from rhubarbbend.codes import ErrorCode, Verdict
 from rhubarbbend.core.catalog import Catalog, RequestKind
 from rhubarbbend.core.delivery import AttemptOutcome, compute_verdict, decide_step
-from rhubarbbend.gateway._attempts import AttemptRunner, BudgetSpent, pass_on
+from rhubarbbend.gateway._attempts import AttemptRunner, RetryBudgetExhausted, send_answer
 from rhubarbbend.gateway._interfaces import BadRequest, CallerProtocol, CallerRequest
 from rhubarbbend.gateway._requests import OpenRequest
 from rhubarbbend.gateway._state import Clock, State
 from rhubarbbend.http import Exchange
 
-# A caller is told to come back within this part of the time that it has left, so that its next
-# try still has most of it.
-RETRY_PART: Final = 0.25
-# Callers that are refused together would return together; each is told a time drawn from this
-# part of the code's own upwards.
-RETRY_SPREAD: Final = 0.5
-# So many targets that take no connection are tried in a row for one request.
-MAX_UNREACHED: Final = 4
-# Turns of the loop in which the end of a connection is read that came right after a request.
-TURNS_TO_EOF: Final = 3
-# For so many seconds after its start an instance lets callers wait for the configuration: twice
-# what the store takes to give it, and what other instances take if the store does not.
-START_WAIT: Final = 0.8
-# A caller waits for this part of the time that it gives its request, so that a try at another
-# instance can still be answered.
-START_PART: Final = 0.33
-# Why targets are shut that are there and will take work again soon.
-BUSY_REASONS: Final = frozenset({"cold", "connections", "load"})
+# Retry-After is at most this fraction of the time that the caller has left, so that its next
+# attempt still has most of that time.
+RETRY_AFTER_FRACTION: Final = 0.25
+# Callers that are refused at the same time would also retry at the same time. Retry-After is
+# therefore drawn at random between this fraction of its full value and the full value.
+MIN_RETRY_AFTER_FRACTION: Final = 0.5
+# A request is refused once more than this many targets have failed to accept a connection for it.
+MAX_CONNECT_FAILURES: Final = 4
+# Iterations of the event loop within which a disconnection is read that arrived right after the
+# request.
+EOF_LOOP_ITERATIONS: Final = 3
+# For this long after its start, an instance lets callers wait for the configuration. This is twice
+# the time that the store takes to return it, and the time that other instances take to send it if
+# the store does not.
+STARTUP_WAIT_S: Final = 0.8
+# At startup, a caller waits at most this fraction of its request's time limit, so that an attempt
+# at another instance can still be answered in time.
+STARTUP_WAIT_FRACTION: Final = 0.33
+# Reasons for rejecting targets that are available and will accept requests again soon.
+OVERLOAD_REASONS: Final = frozenset({"cold", "connections", "load"})
 
 
 class RequestServer:
-    """All requests of callers. Invariant: each ends in one answer, refusal or cut connection."""
+    """Serves all requests of callers.
+
+    Invariant: each request ends in exactly one answer, refusal or aborted connection. `open` is the
+    number of requests being served.
+    """
 
     def __init__(
-        self, state: State, callers: CallerProtocol, attempts: AttemptRunner, clock: Clock
+        self, state: State, caller_protocol: CallerProtocol, attempts: AttemptRunner, clock: Clock
     ) -> None:
         self._state = state
-        self._callers = callers
+        self._caller_protocol = caller_protocol
         self._attempts = attempts
         self._clock = clock
         self.open = 0
 
     async def serve(self, exchange: Exchange) -> None:
-        """Serve one request; the handler of the callers' HTTP server."""
+        """Serve one request; this is the handler of the HTTP server for callers."""
         self.open += 1
         now = self._clock()
         self._state.metrics.add(codes.REQUESTS)
         try:
             if not self._state.opened.is_set():
-                await self._wait_opened(exchange, now)
+                await self._wait_until_opened(exchange, now)
             request = None if exchange.closed.is_set() else self._admit(exchange, now)
             if request is not None:
                 await self._deliver(request)
         except Exception as error:
-            self._fail(exchange, error)
+            self._handle_internal_error(exchange, error)
         finally:
             self.open -= 1
             exchange.on_closed = None
 
-    def _fail(self, exchange: Exchange, error: Exception) -> None:
-        """End a request on which this program itself failed; it may have run."""
+    def _handle_internal_error(self, exchange: Exchange, error: Exception) -> None:
+        """End a request after an exception in this program; the request may have run."""
         self._state.metrics.add(codes.INTERNAL_ERRORS)
         reason = "".join(traceback.format_exception(error)[-3:])
-        caller_id = self._callers.read_id(exchange)
-        self._state.journal.write("internal_error", self._clock(), id=caller_id, reason=reason)
+        request_id = self._caller_protocol.read_id(exchange)
+        self._state.journal.write("internal_error", self._clock(), id=request_id, reason=reason)
         if exchange.started:
             exchange.abort()
         else:
             verdict = Verdict.MAY_HAVE_RUN
-            self._write_error(exchange, caller_id, codes.INTERNAL, verdict, 0.0)
+            self._write_error(exchange, request_id, codes.INTERNAL, verdict, 0.0)
 
     # Admission.
 
-    async def _wait_opened(self, exchange: Exchange, now: float) -> None:
-        """Wait for what a start is about to read, for as long as it usually takes.
+    async def _wait_until_opened(self, exchange: Exchange, now: float) -> None:
+        """Wait until the configuration is known, for at most the time that a start usually takes.
 
-        When all instances start at once, a caller that is refused by each uses up its tries in
-        less time than the configuration takes to come. One that starts without a store is known
-        by the end of that time, and refuses at once from then on.
+        If all instances start at once and each refused its callers, a caller would use up its
+        attempts in less time than the configuration takes to arrive. An instance that starts
+        without a reachable store has not received it by the end of that time, and refuses requests
+        at once from then on.
         """
-        limit = self._callers.read_time_limit(exchange)
-        left = self._state.started_at + START_WAIT - now
-        if limit is not None:
-            left = min(left, START_PART * limit)
-        if left <= 0.0:
+        time_limit = self._caller_protocol.read_time_limit(exchange)
+        timeout = self._state.started_at + STARTUP_WAIT_S - now
+        if time_limit is not None:
+            timeout = min(timeout, STARTUP_WAIT_FRACTION * time_limit)
+        if timeout <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(timeout):
                 await self._state.opened.wait()
         self._state.metrics.add(codes.WAITED_FOR_START)
         is_gone = exchange.closed.is_set()
@@ -103,52 +114,61 @@
         self._state.journal.write(
             "waited_for_start",
             self._clock(),
-            id=self._callers.read_id(exchange),
+            id=self._caller_protocol.read_id(exchange),
             waited=round(self._clock() - now, 4),
             opened=self._state.opened.is_set(),
             caller_gone=is_gone or None,
         )
 
     def _admit(self, exchange: Exchange, now: float) -> OpenRequest | None:
-        """Find out where a request may go; answers it at once if that is nowhere."""
+        """Return the request if it may be sent to targets; otherwise answer it and return None."""
         catalog = self._state.catalog
         if catalog is None:
-            caller_id = self._callers.read_id(exchange)
-            self._reject(exchange, caller_id, codes.NOT_READY, "no configuration yet", now)
+            request_id = self._caller_protocol.read_id(exchange)
+            self._reject(
+                exchange, request_id, codes.NOT_READY, "no configuration received yet", now
+            )
             return None
         try:
-            caller = self._callers.read_request(exchange)
-        except BadRequest as bad:
-            caller_id = self._callers.read_id(exchange)
-            self._reject(exchange, caller_id, bad.code, bad.detail, now)
+            caller = self._caller_protocol.read_request(exchange)
+        except BadRequest as error:
+            request_id = self._caller_protocol.read_id(exchange)
+            self._reject(exchange, request_id, error.code, error.detail, now)
             return None
-        return self._match(exchange, caller, catalog, now)
+        return self._authorize_and_route(exchange, caller, catalog, now)
 
-    def _match(
+    def _authorize_and_route(
         self, exchange: Exchange, caller: CallerRequest, catalog: Catalog, now: float
     ) -> OpenRequest | None:
         route = catalog.find_route(caller.host, caller.path)
         if route is None:
-            detail = f"no route in version {catalog.version}"
+            detail = f"no route for host and path in configuration version {catalog.version}"
             self._reject(exchange, caller.id, codes.UNKNOWN_PATH, detail, now)
             return None
         account = None
         if catalog.needs_key and not route.public:
             account = catalog.find_account(caller.key)
             if account is None:
-                detail = f"unknown key in version {catalog.version}"
+                detail = f"unknown API key in configuration version {catalog.version}"
                 self._reject(exchange, caller.id, codes.UNAUTHORIZED, detail, now)
                 return None
-        # A chat stays with one service, or each change would have its prompts read there anew.
-        chat = caller.prompt
-        point = self._state.random.random() if chat is None else chat.hash_fraction
-        name = route.choose_service(point)
+        # Requests with the same shared prompt go to one service; after a change to another service,
+        # its engines would have to process the prompt again.
+        prompt = caller.prompt
+        hash_fraction = self._state.random.random() if prompt is None else prompt.hash_fraction
+        name = route.choose_service(hash_fraction)
         service = catalog.services.get(name)
         if service is None:
-            self._reject(exchange, caller.id, codes.NO_TARGET, f"no service {name!r}", now)
+            self._reject(
+                exchange,
+                caller.id,
+                codes.NO_TARGET,
+                f"the route's service {name!r} is not in the configuration",
+                now,
+            )
             return None
-        version = catalog.version
-        request = OpenRequest(caller, exchange, route, service, account, now, version)
+        config_version = catalog.version
+        request = OpenRequest(caller, exchange, route, service, account, now, config_version)
         if self._state.crashes.is_refused(request.digest, now):
             self._refuse(request, codes.CRASHES_TARGETS, now)
             return None
@@ -158,14 +178,14 @@
     # Delivery.
 
     async def _deliver(self, request: OpenRequest) -> None:
-        """Try targets until the request has its answer, or there is nothing left to try."""
+        """Send a request to targets until it is answered or refused, or its deadline passes."""
         task = asyncio.current_task()
         assert task is not None
         if request.route.kind is not RequestKind.UNSAFE:
-            # Work that nobody waits for is ended. A command that was sent is left to finish:
-            # ended midway it would be half done.
+            # If the caller disconnects, the work is cancelled. A command that was sent is left to
+            # finish, since it could otherwise be partly executed.
             request.exchange.on_closed = task.cancel
-        elif await _has_left(request.exchange):
+        elif await _is_disconnected(request.exchange):
             self._state.metrics.add(codes.CALLER_GONE)
             self._log_end(request, "caller_gone", 0)
             return
@@ -182,7 +202,7 @@
             self._log_end(request, "caller_gone", 0)
 
     async def _try_targets(self, request: OpenRequest) -> None:
-        unreached = 0
+        connect_failures = 0
         while True:
             now = self._clock()
             choice = self._state.placement.choose(
@@ -193,94 +213,103 @@
                 self._state.random,
                 now,
             )
-            if choice is None or unreached > MAX_UNREACHED:
-                request.shut = dict(self._state.placement.last_rejections)
-                self._give_up(request, self._explain_none(request.shut))
+            if choice is None or connect_failures > MAX_CONNECT_FAILURES:
+                request.rejection_counts = dict(self._state.placement.last_rejections)
+                self._finish_failed(request, self._select_refusal(request.rejection_counts))
                 return
             self._state.metrics.add(f"routed.{choice.reason.value}")
             request.excluded.add(choice.target.id)
             try:
-                end = await self._attempts.run(request, choice)
-            except BudgetSpent:
-                self._give_up(request, codes.RETRY_BUDGET)
+                outcome = await self._attempts.run(request, choice)
+            except RetryBudgetExhausted:
+                self._finish_failed(request, codes.RETRY_BUDGET)
                 return
-            if end is AttemptOutcome.UNREACHED:
-                unreached += 1
-                # A request waits for one time-out of those that may be away, not for each.
+            if outcome is AttemptOutcome.UNREACHED:
+                connect_failures += 1
+                # All targets that are known to be unreachable are excluded, so that the request
+                # waits for only one connect time-out and not for one of each such target.
                 request.excluded |= self._state.health.list_unreachable()
-            if not self._go_on(request, end):
+            if not self._handle_outcome(request, outcome):
                 return
 
-    def _explain_none(self, shut: dict[str, int]) -> ErrorCode:
-        """Name the refusal of a request that no target can take now."""
-        return codes.OVERLOADED if BUSY_REASONS & shut.keys() else codes.NO_TARGET
+    def _select_refusal(self, rejection_counts: dict[str, int]) -> ErrorCode:
+        """Return the error for a request that no target can accept now."""
+        return codes.OVERLOADED if OVERLOAD_REASONS & rejection_counts.keys() else codes.NO_TARGET
 
-    def _go_on(self, request: OpenRequest, end: AttemptOutcome) -> bool:
-        """Whether another target is to be tried; settles the request if not."""
-        request.progress.record_outcome(end)
-        step = decide_step(request.route, end, request.progress)
+    def _handle_outcome(self, request: OpenRequest, outcome: AttemptOutcome) -> bool:
+        """Return whether to try another target; end the request if not."""
+        request.progress.record_outcome(outcome)
+        step = decide_step(request.route, outcome, request.progress)
         if step.retry:
-            if end is not AttemptOutcome.UNREACHED:
-                self._state.metrics.add(f"retry.{end.value}")
+            if outcome is not AttemptOutcome.UNREACHED:
+                self._state.metrics.add(f"retry.{outcome.value}")
             return True
         if step.code is None:
-            self._finish(request, end)
+            self._finish_answered(request, outcome)
         else:
-            self._give_up(request, step.code)
+            self._finish_failed(request, step.code)
         return False
 
-    def _finish(self, request: OpenRequest, end: AttemptOutcome) -> None:
-        if not request.progress.started and request.kept_answer is not None:
-            pass_on(request, request.kept_answer)
+    def _finish_answered(self, request: OpenRequest, outcome: AttemptOutcome) -> None:
+        if not request.progress.started and request.fallback_answer is not None:
+            send_answer(request, request.fallback_answer)
         now = self._clock()
         self._state.metrics.add(codes.ANSWERS)
-        self._state.metrics.observe("answer", request.route.kind.value, now - request.arrived)
+        self._state.metrics.observe("answer", request.route.kind.value, now - request.arrived_at)
         status = 0 if request.answer is None else request.answer.status
-        self._log_end(request, "answered" if end is AttemptOutcome.ANSWERED else "failed", status)
+        self._log_end(
+            request, "answered" if outcome is AttemptOutcome.ANSWERED else "failed", status
+        )
 
     def _expire(self, request: OpenRequest) -> None:
-        """End a request whose deadline or time-out has passed."""
+        """End a request whose deadline has passed."""
         if request.attempt_target is not None and not request.progress.may_have_run:
-            # The attempt under way may have been sent; its end was not counted.
+            # The attempt in progress may have been sent; its outcome was not recorded.
             request.progress.may_have_run = True
-        self._give_up(request, codes.DEADLINE)
+        self._finish_failed(request, codes.DEADLINE)
+
+    def _finish_failed(self, request: OpenRequest, code: ErrorCode) -> None:
+        """End a request for which no target sent a complete successful answer.
 
-    def _give_up(self, request: OpenRequest, code: ErrorCode) -> None:
-        """End a request that gets no whole answer, at once and truthfully."""
+        The caller gets the stored error answer of a target if there is one, else the error `code`.
+        A stream that was already started is aborted.
+        """
         if request.progress.started:
-            # Ending the message would pass a part off as the whole.
+            # Ending the message normally would make the partial answer look complete.
             request.exchange.abort_after_flush()
             self._state.metrics.add(codes.ANSWERS_CUT)
             self._log_end(request, f"cut: {code.name}", 0)
             return
-        if request.kept_answer is not None:
-            pass_on(request, request.kept_answer)
-            self._log_end(request, "failed", request.kept_answer.head.status)
+        if request.fallback_answer is not None:
+            send_answer(request, request.fallback_answer)
+            self._log_end(request, "failed", request.fallback_answer.head.status)
             return
         self._refuse(request, code, self._clock())
 
     def _refuse(self, request: OpenRequest, code: ErrorCode, now: float) -> None:
         verdict = compute_verdict(request.progress)
         if verdict is Verdict.MAY_HAVE_RUN and code.status in (429, 503):
-            # These statuses promise that the request has not run.
+            # These statuses guarantee that the request has not run.
             code = codes.TARGET_FAILED
-        after = min(code.retry_after, RETRY_PART * max(0.0, request.time_left(now)))
-        after *= self._state.random.uniform(RETRY_SPREAD, 1.0)
-        self._write_error(request.exchange, request.id, code, verdict, after)
+        retry_after = min(
+            code.retry_after, RETRY_AFTER_FRACTION * max(0.0, request.compute_time_left(now))
+        )
+        retry_after *= self._state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
+        self._write_error(request.exchange, request.id, code, verdict, retry_after)
         self._state.metrics.add(f"refused.{code.name}")
-        self._log_end(request, f"refused: {code.name}", code.status, verdict, after)
+        self._log_end(request, f"refused: {code.name}", code.status, verdict, retry_after)
 
     def _reject(
-        self, exchange: Exchange, request: str, code: ErrorCode, detail: str, now: float
+        self, exchange: Exchange, request_id: str, code: ErrorCode, detail: str, now: float
     ) -> None:
-        """Refuse a request that has no route, account or configuration here."""
-        after = code.retry_after * self._state.random.uniform(RETRY_SPREAD, 1.0)
-        self._write_error(exchange, request, code, Verdict.NOT_RUN, after)
+        """Refuse a request that is invalid, or for which there is no route, account or service."""
+        retry_after = code.retry_after * self._state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
+        self._write_error(exchange, request_id, code, Verdict.NOT_RUN, retry_after)
         self._state.metrics.add(f"refused.{code.name}")
         self._state.journal.write(
             "rejected",
             now,
-            id=request,
+            id=request_id,
             code=code.name,
             status=code.status,
             detail=detail,
@@ -288,9 +317,16 @@
         )
 
     def _write_error(
-        self, exchange: Exchange, request: str, code: ErrorCode, verdict: Verdict, after: float
+        self,
+        exchange: Exchange,
+        request_id: str,
+        code: ErrorCode,
+        verdict: Verdict,
+        retry_after: float,
     ) -> None:
-        status, headers, body = self._callers.make_error(code, verdict, after, request)
+        status, headers, body = self._caller_protocol.make_error(
+            code, verdict, retry_after, request_id
+        )
         exchange.respond(status, headers, body)
 
     def _log_end(
@@ -316,18 +352,18 @@
             service=request.service.name,
             target=None if target is None else target.id,
             sends=request.progress.sends,
-            shut=request.shut,
-            took=round(now - request.arrived, 4),
-            config=request.version,
+            shut=request.rejection_counts,
+            took=round(now - request.arrived_at, 4),
+            config=request.config_version,
         )
 
 
-async def _has_left(exchange: Exchange) -> bool:
-    """Whether a caller has gone already as its request is read.
+async def _is_disconnected(exchange: Exchange) -> bool:
+    """Return whether the caller had already disconnected when its request was read.
 
-    After a pause of this process a request and the end of its connection lie there together, and
-    are read one after the other.
+    After this process was paused, a request and the end of its connection can be waiting together;
+    they are then read one after the other.
     """
-    for _ in range(TURNS_TO_EOF):
+    for _ in range(EOF_LOOP_ITERATIONS):
         await asyncio.sleep(0)
     return exchange.closed.is_set()
--- a/rhubarbbend/gateway/_signal.py
+++ b/rhubarbbend/gateway/_signal.py
@@ -1,23 +1,23 @@
-"""Wakes everything that waits for something to change."""
+"""Notifies all tasks that wait for a change."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Final
 
-# Hints that come one by one are passed on together after this many seconds.
-GATHER: Final = 0.15
+# Changes reported within this time of the first one wake the waiting tasks only once.
+COALESCE_DELAY_S: Final = 0.15
 
 
 class Signal:
-    """Wakes all waiters at once, as often as it is needed."""
+    """Wakes all waiting tasks at each notification."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
 
     def notify(self) -> None:
-        """Wake everyone that waits now."""
+        """Wake all tasks that are waiting now."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -25,12 +25,12 @@
         event.set()
 
     def notify_soon(self) -> None:
-        """Wake everyone within GATHER seconds."""
+        """Wake all waiting tasks within `COALESCE_DELAY_S` seconds."""
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(GATHER, self.notify)
+            self._timer = asyncio.get_running_loop().call_later(COALESCE_DELAY_S, self.notify)
 
     async def wait(self, timeout: float) -> None:
-        """Wait until the next notice, for `timeout` seconds at the most."""
+        """Wait until the next notification, at most `timeout` seconds."""
         try:
             async with asyncio.timeout(max(0.0, timeout)):
                 await self._event.wait()
--- a/rhubarbbend/gateway/_streams.py
+++ b/rhubarbbend/gateway/_streams.py
@@ -1,4 +1,7 @@
-"""Event streams: whole events are passed on as they come, each once, across resumptions."""
+"""Relays server-sent events from targets to a caller: complete events only, and each one once.
+
+A stream that is cut off may be resumed at another target; the caller sees one stream.
+"""
 
 from __future__ import annotations
 
@@ -7,13 +10,13 @@
 
 from rhubarbbend.http import BodyRelay, Exchange
 
-# An event that has not ended after so many bytes is no event.
-MAX_EVENT: Final = 1_048_576
+# Data that contains no end of an event within this size is not an event stream.
+MAX_EVENT_BYTES: Final = 1_048_576
 ID_FIELD: Final = b"id:"
 
 
 def read_event_id(event: bytes) -> str:
-    """Give the id that an event carries; empty without one."""
+    """Return the id of an event, empty if it has none."""
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
             return line[len(ID_FIELD) :].strip().decode("ascii", "replace")
@@ -21,95 +24,100 @@
 
 
 class EventRelay(BodyRelay):
-    """Passes one caller's events on, from one target after the other.
+    """Relays the events of one stream to its caller, from each target that serves it in turn.
 
-    A target may stop in the middle of an event, and one that resumes a stream may repeat events.
-    Passing bytes on as they come would join two halves of an event, which the caller cannot tell
-    from a whole one; so only whole events pass, and only ids beyond the last one passed.
-    Invariant: `last_id` is the id of the last event that was passed on.
+    A target may stop in the middle of an event, and a target that resumes a stream may repeat
+    events. If bytes were forwarded as they arrive, two halves of an event could be joined, which
+    the caller cannot distinguish from one event. Therefore only complete events are forwarded and,
+    after a resumption, only those with ids after the last forwarded one.
+    Invariant: `last_id` is the id of the last event that was forwarded.
     """
 
-    def __init__(self, exchange: Exchange, start: Callable[[], None], last_id: str) -> None:
+    def __init__(self, exchange: Exchange, send_head: Callable[[], None], last_id: str) -> None:
         self.last_id = last_id
+        # Whether the response head has been sent to the caller.
         self.started = False
-        # Whether the run that is being relayed has brought an event.
-        self.has_begun = False
+        # Whether an event has been received from the current target.
+        self.has_received_event = False
         self._exchange = exchange
-        self._start = start
+        self._send_head = send_head
         self._buffer = bytearray()
-        self._resumed = False
-        self._on_begun: Callable[[], None] = lambda: None
-        self._overlong = False
+        self._is_resumed = False
+        self._on_first_event: Callable[[], None] = lambda: None
+        self._is_event_too_long = False
 
-    def begin_run(self, resumed: bool, on_begun: Callable[[], None]) -> None:
-        """Take a target's body from its beginning; `resumed` if it goes on where one was cut.
+    def begin_response(self, is_resumed: bool, on_first_event: Callable[[], None]) -> None:
+        """Prepare to relay the body of a target's response from its beginning.
 
-        `on_begun` is called with its first event.
+        `is_resumed` is whether it continues a stream that was cut off. `on_first_event` is called
+        when its first complete event has been received.
         """
         self._buffer.clear()
-        self._resumed = resumed
-        self.has_begun = False
-        self._on_begun = on_begun
+        self._is_resumed = is_resumed
+        self.has_received_event = False
+        self._on_first_event = on_first_event
 
     def write(self, data: bytes) -> None:
-        """Take a part of the target's body."""
-        if self._overlong:
+        """Accept a part of the target's body and forward the events that it completes."""
+        if self._is_event_too_long:
             return
         self._buffer += data
-        end = _find_end(self._buffer)
+        end = _find_end_of_events(self._buffer)
         if end < 0:
-            self._overlong = len(self._buffer) > MAX_EVENT
+            self._is_event_too_long = len(self._buffer) > MAX_EVENT_BYTES
             return
-        block = bytes(self._buffer[:end])
+        events = bytes(self._buffer[:end])
         del self._buffer[:end]
-        if not self.has_begun:
-            self.has_begun = True
-            self._on_begun()
-        passed = self._select(block) if self._resumed else self._note_last(block)
-        if not passed:
+        if not self.has_received_event:
+            self.has_received_event = True
+            self._on_first_event()
+        output = (
+            self._select_new_events(events) if self._is_resumed else self._record_last_id(events)
+        )
+        if not output:
             return
         if not self.started:
             self.started = True
-            self._start()
-        self._exchange.write(passed)
+            self._send_head()
+        self._exchange.write(output)
 
-    def is_whole(self) -> bool:
-        """Whether the body ended with the end of an event."""
-        return not self._overlong and not self._buffer.strip()
+    def is_complete(self) -> bool:
+        """Return whether the body received so far ends at the end of an event."""
+        return not self._is_event_too_long and not self._buffer.strip()
 
     def is_write_buffer_full(self) -> bool:
-        """Whether the caller reads slower than events come."""
+        """Return whether the caller reads more slowly than events arrive."""
         return self._exchange.is_write_buffer_full()
 
     async def drain(self) -> None:
-        """Wait for the caller."""
+        """Wait until the caller has read enough of the forwarded events."""
         await self._exchange.drain()
 
-    def _note_last(self, block: bytes) -> bytes:
-        """Pass a block on to the byte, and note the id of its last event."""
-        for event in reversed(block.split(b"\n\n")):
+    def _record_last_id(self, events: bytes) -> bytes:
+        """Record the last id in a block of complete events and return the block unchanged."""
+        for event in reversed(events.split(b"\n\n")):
             event_id = read_event_id(event)
             if event_id:
                 self.last_id = event_id
                 break
-        return block
+        return events
 
-    def _select(self, block: bytes) -> bytes:
-        """Give those events of a block of whole ones that the caller has not had."""
-        passed: list[bytes] = []
-        for event in block.split(b"\n\n"):
+    def _select_new_events(self, events: bytes) -> bytes:
+        """Return those events of a block that the caller has not received yet."""
+        output: list[bytes] = []
+        for event in events.split(b"\n\n"):
             if not event.strip():
                 continue
             event_id = read_event_id(event)
             if event_id and not _is_after(event_id, self.last_id):
                 continue
             self.last_id = event_id or self.last_id
-            passed.append(event + b"\n\n")
-        return b"".join(passed)
+            output.append(event + b"\n\n")
+        return b"".join(output)
 
 
-def _find_end(buffer: bytearray) -> int:
-    """Give the length of the whole events at the beginning of a buffer; -1 if there is none."""
+def _find_end_of_events(buffer: bytearray) -> int:
+    """Return the length of the complete events at the start of a buffer, -1 if there are none."""
     end = buffer.rfind(b"\n\n")
     return -1 if end < 0 else end + 2
 
--- a/rhubarbbend/gateway/_timings.py
+++ b/rhubarbbend/gateway/_timings.py
@@ -1,8 +1,9 @@
-"""Times that follow from what a deployment's settings say, worked out in one place.
+"""Derives time-outs and other options from the settings of a deployment.
 
-What is in force has to be known within the shorter of two bounds: that on configurations and that
-on targets that leave. Each time below is a part of a bound, so that one instance's chain of
-waiting, finding out and reading anew fits into it.
+An instance must learn of a change in the store within the shorter of two bounds of the settings:
+`config_time` for a new configuration and `drain_time` for a target that leaves. Each time below is
+a fraction of such a bound, so that waiting for a change, noticing that the wait failed and reading
+the store again fit into the bound one after the other.
 """
 
 from __future__ import annotations
@@ -15,29 +16,32 @@
 from rhubarbbend.core.placement import SourceOptions
 from rhubarbbend.gateway._settings import GatewaySettings
 
-# What an instance knows is too old after this part of the bound: reading the store once it is
-# passed takes up to 0.4 s, and applying the change a part of that.
-AGE_PART: Final = 0.65
-# A wait at the store of an instance at which others wait: it has to prove to them within the age
-# that the store still answers it.
-READER_PART: Final = 0.35
-# A target whose registration lapsed while the store was away may have left; it is used for this
-# part of the time for which it would then go on serving.
-LAPSE_PART: Final = 0.85
-# Heartbeats in which a target of a zone that returns says whether it has turned cold.
-CAUTION_BEATS: Final = 1.7
-# Heartbeats within which a target that has left as planned has answered somebody; one that crashed
-# has been silent for three when its registration goes.
-ALIVE_BEATS: Final = 2.5
+# What an instance knows counts as too old after this fraction of the bound. The store is read then,
+# which takes up to 0.4 s; applying the change takes a fraction of that.
+MAX_AGE_FRACTION: Final = 0.65
+# Fraction of the bound for which the zone's reader, the instance from which others get changes,
+# waits for a change at the store. It has to prove to them within `max_age` that the store still
+# answers it.
+READER_WAIT_FRACTION: Final = 0.35
+# A target whose registration expired while the store was unavailable may have left. It is used for
+# this fraction of `drain_time`, the time for which a leaving target continues to serve.
+MISSING_REGISTRATION_GRACE_FRACTION: Final = 0.85
+# Number of heartbeat intervals within which a target reports whether it has become cold, after its
+# zone has returned to service.
+ASSUMED_COLD_TIME_FACTOR: Final = 1.7
+# Number of heartbeat intervals within which a target that left as planned has answered a request
+# before its registration is removed; one that crashed has been silent for three by then.
+MAX_RESPONSE_AGE_FACTOR: Final = 2.5
 
 
 class Timings(msgspec.Struct, frozen=True):
-    """Times in seconds.
+    """Time-outs for following the tables of the store, in seconds.
 
-    `max_age` is for how long it may be unknown that the store holds nothing newer; `table_wait` how
-    long a call waits for changes, which is also the check that its connection still carries answers
-    (one can go silent for good while others work); `reader_wait` the same for the configuration at
-    an instance at which others wait.
+    `max_age` is the longest time for which it may be unknown whether the store holds anything
+    newer. `table_wait` is how long a call to the store waits for changes; its return also shows
+    that the connection still works, since one connection can become silent for good while others
+    work. `reader_wait` replaces it for the configuration table at the zone's reader, the instance
+    from which other instances of the zone get changes.
     """
 
     max_age: float
@@ -46,18 +50,18 @@
 
 
 def derive_timings(settings: GatewaySettings) -> Timings:
-    """Work out the times of following the store."""
+    """Return the time-outs for following the tables of the store."""
     bound = min(settings.config_time, settings.drain_time)
-    return Timings(AGE_PART * bound, bound, READER_PART * bound)
+    return Timings(MAX_AGE_FRACTION * bound, bound, READER_WAIT_FRACTION * bound)
 
 
 def derive_directory_options(settings: GatewaySettings) -> DirectoryOptions:
-    """Work out for how long registrations that are missing or uncertain hold."""
-    grace = LAPSE_PART * settings.drain_time
-    return DirectoryOptions(grace, CAUTION_BEATS * settings.heartbeat)
+    """Return how long the uncertain state of a target is assumed."""
+    grace = MISSING_REGISTRATION_GRACE_FRACTION * settings.drain_time
+    return DirectoryOptions(grace, ASSUMED_COLD_TIME_FACTOR * settings.heartbeat)
 
 
 def derive_source_options(settings: GatewaySettings) -> SourceOptions:
-    """Work out for how long what targets hold may be fetched."""
-    alive = ALIVE_BEATS * settings.heartbeat
-    return SourceOptions(settings.evacuation_grace, settings.drain_time, alive)
+    """Return how long cached prompts may be fetched from targets that leave."""
+    max_response_age = MAX_RESPONSE_AGE_FACTOR * settings.heartbeat
+    return SourceOptions(settings.evacuation_grace, settings.drain_time, max_response_age)
