--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_serving.py
@@ -163,7 +163,7 @@
                 exchange,
                 caller.id,
                 codes.NO_TARGET,
-                f"the route's service {name!r} is not in the configuration",
+                f"the configuration has no service {name!r}",
                 now,
             )
             return None
--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway: its parts alone, then real processes before stand-ins."""
+"""Tests of the gateway: of single parts, and of real processes against stand-ins."""
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -1,4 +1,4 @@
-"""The fleet of the load tool, and how tests run on it."""
+"""The load tool's fleet for the tests of the gateway, and a function that runs a test on it."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 def run(work: Callable[[], Awaitable[None]], timeout: float = 60.0) -> None:
-    """Run a test's coroutine with a limit that no passing test comes near."""
+    """Run a test's coroutine with a time-out, in seconds, far above what a passing test takes."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(timeout):
             await work()
 
-    asyncio.run(limited())
+    asyncio.run(run_with_timeout())
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -1,4 +1,7 @@
-"""Answers late, crossed, cut short or no answers: callers get their own and whole, or none."""
+"""Tests of faulty answers: delayed, misdirected, truncated or missing ones.
+
+A caller must get the complete answer to its own request, or an error.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,8 @@
     return b"".join(make_event(body, number) for number in range(first, last + 1))
 
 
-async def wait_for_run(fleet: Fleet) -> tuple[str, str]:
-    """Wait until one of two engines runs a request; gives its name and the other's."""
+async def wait_until_one_engine_runs(fleet: Fleet) -> tuple[str, str]:
+    """Wait until one of two engines runs a request; return its name and the name of the other."""
 
     async def is_running() -> bool:
         stats = await fleet.read_all_stats("llm")
@@ -34,8 +37,8 @@
 
 @pytest.mark.parametrize("fault", ["stray", "extra"])
 def test_an_answer_to_another_request_never_reaches_a_caller(tmp_path: Path, fault: str) -> None:
-    # A worker sends an answer twice. The second one lies on the connection where the answer to
-    # the next request is due; its id tells that it belongs to nobody who waits there.
+    # A worker sends an answer twice. The duplicate arrives on the connection where the answer to
+    # the next request is expected; only its request id shows that it does not belong to it.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             await fleet.set_worker("plain-0", **{fault: True})
@@ -49,11 +52,12 @@
 
 @pytest.mark.parametrize("fault", ["garbage", "truncate", "unsealed"])
 @pytest.mark.parametrize(("path", "status"), [("/read/x", 200), ("/book/x", 502)])
-def test_a_spoilt_answer_is_replaced_where_the_request_may_run_again(
+def test_an_invalid_answer_is_replaced_if_the_request_may_run_again(
     tmp_path: Path, fault: str, path: str, status: int
 ) -> None:
-    # One of two workers spoils its answers. A read is asked for at the other one; a booking may
-    # have run, so its caller is told that nothing is known of it, and it runs once.
+    # A worker returns invalid answers. A read is retried at the other worker. A booking may have
+    # run, so both workers return invalid answers for it: it must run only once, and its caller gets
+    # 502 because the outcome is unknown.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.set_worker("plain-0", **{fault: True})
@@ -71,7 +75,7 @@
     run(work)
 
 
-def test_a_body_without_a_length_is_whole_when_its_connection_ends(tmp_path: Path) -> None:
+def test_a_body_without_a_length_is_complete_when_its_connection_closes(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             await fleet.set_worker("plain-0", unframed=True)
@@ -81,16 +85,16 @@
     run(work)
 
 
-def test_a_stream_that_is_cut_within_an_event_goes_on_at_another_engine(tmp_path: Path) -> None:
-    # The engine's connection ends in the middle of the fourth event. The caller has had three;
-    # the other engine goes on after the third, and the caller sees one stream without a seam.
+def test_a_stream_cut_within_an_event_is_resumed_at_another_engine(tmp_path: Path) -> None:
+    # The engine's connection closes in the middle of the fourth event, when the caller has received
+    # three. The other engine resumes after the third, and the caller must see one gapless stream.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=2) as fleet:
             await fleet.set_workers("llm", events=EVENTS, cut_after=3)
-            asked = asyncio.ensure_future(fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT))
-            busy, idle = await wait_for_run(fleet)
+            reply_task = asyncio.ensure_future(fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT))
+            busy, idle = await wait_until_one_engine_runs(fleet)
             await fleet.set_worker(idle, cut_after=-1)
-            reply = await asked
+            reply = await reply_task
             assert (reply.status, reply.whole) == (200, True)
             assert reply.body == join_events(b"hi")
             assert reply.headers["response-seal"] == f"seal-{busy}"
@@ -100,31 +104,32 @@
     run(work)
 
 
-def test_events_that_a_second_engine_repeats_reach_the_caller_once(tmp_path: Path) -> None:
-    # The engine that is to go on after event 3 begins with event 1 again.
+def test_events_repeated_by_a_second_engine_reach_the_caller_once(tmp_path: Path) -> None:
+    # The engine that should resume after event 3 starts again with event 1.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=2) as fleet:
             await fleet.set_workers("llm", events=EVENTS, cut_after=3, repeat_events=True)
-            asked = asyncio.ensure_future(fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT))
-            _, idle = await wait_for_run(fleet)
+            reply_task = asyncio.ensure_future(fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT))
+            _, idle = await wait_until_one_engine_runs(fleet)
             await fleet.set_worker(idle, cut_after=-1)
-            reply = await asked
+            reply = await reply_task
             assert (reply.whole, reply.body) == (True, join_events(b"hi"))
 
     run(work)
 
 
-def test_a_failure_in_place_of_the_rest_of_a_stream_is_not_joined_to_it(tmp_path: Path) -> None:
-    # The first engine breaks off after event 3, and the one that is to go on answers with a
-    # failure of its own. The caller has the head and three events: a second head cannot follow,
-    # so it sees the stream cut, and the instance takes that for what it is and no fault of its own.
+def test_an_error_answer_to_a_resumption_is_not_appended_to_the_stream(tmp_path: Path) -> None:
+    # The first engine's connection closes after event 3, and the engine that should resume answers
+    # with an error. The caller has already received the head and three events, so no second head
+    # can follow: its stream must be aborted, and the instance must log this as a failure of the
+    # target and not as an internal error.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=2) as fleet:
             await fleet.set_workers("llm", events=EVENTS, cut_after=3)
-            asked = asyncio.ensure_future(fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT))
-            _, idle = await wait_for_run(fleet)
+            reply_task = asyncio.ensure_future(fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT))
+            _, idle = await wait_until_one_engine_runs(fleet)
             await fleet.set_worker(idle, status=500)
-            reply = await asked
+            reply = await reply_task
             assert (reply.status, reply.whole) == (200, False)
             assert reply.body == join_events(b"hi", 1, 3)
             ends = [line for line in fleet.read_log("front-0") if line["event"] == "ended"]
@@ -133,9 +138,9 @@
     run(work)
 
 
-def test_a_rejection_after_a_spoilt_answer_is_no_word_that_nothing_ran(tmp_path: Path) -> None:
-    # One worker ran the read and spoilt its answer, the other rejects it. 503 would say that it
-    # has not run.
+def test_a_rejection_after_an_invalid_answer_is_not_reported_as_not_run(tmp_path: Path) -> None:
+    # One worker ran the read and truncated its answer, the other rejects it. Status 503 would claim
+    # that the read was not run.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.set_worker("plain-0", truncate=True)
@@ -149,39 +154,39 @@
     run(work)
 
 
-def test_a_stream_goes_on_at_once_when_the_way_to_its_engine_is_cut(tmp_path: Path) -> None:
-    """The zone of an engine is cut off in the middle of a stream: no byte comes, and no reset.
+def test_a_stream_is_resumed_promptly_when_its_engine_is_partitioned(tmp_path: Path) -> None:
+    """A network partition cuts off an engine during a stream: neither data nor a reset arrives.
 
-    The engine takes no new connection either, which tells the cut from a busy engine. Waited for
-    like one, it would cost the caller a pause of a second.
+    The engine does not accept a new connection either, which distinguishes it from a busy engine.
+    If it were given the time of a busy engine, the caller would see a pause of a second.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1, routed=True) as fleet:
             await fleet.set_workers("llm", events=40, event_gap=0.05)
-            asked = asyncio.ensure_future(
+            reply_task = asyncio.ensure_future(
                 fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT, Deadline_Ms="3000")
             )
             await asyncio.sleep(0.5)
             await fleet.start_worker("engine-1", "llm", "zone-b")
             await fleet.set_worker("engine-1", events=40, event_gap=0.0)
             await asyncio.sleep(0.3)
-            cut_at = asyncio.get_running_loop().time()
+            partitioned_at = asyncio.get_running_loop().time()
             route = fleet.workers["engine-0"].reached_at
             await fleet.set_route(route, freeze=True, deaf=True)
-            reply = await asked
+            reply = await reply_task
             assert reply.whole and reply.body == join_events(b"hi", last=40)
-            assert asyncio.get_running_loop().time() - cut_at < 0.8
+            assert asyncio.get_running_loop().time() - partitioned_at < 0.8
 
     run(work)
 
 
-def test_a_stream_that_falls_silent_goes_on_at_another_engine(tmp_path: Path) -> None:
-    # The engine's connection stays open and brings nothing more.
+def test_a_stalled_stream_is_resumed_at_another_engine(tmp_path: Path) -> None:
+    # The engine's connection stays open, but no more data arrives on it.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=2) as fleet:
             await fleet.set_workers("llm", events=EVENTS, stall_after=2)
-            asked = asyncio.ensure_future(
+            reply_task = asyncio.ensure_future(
                 fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT, Deadline_Ms="3000")
             )
             await asyncio.sleep(0.5)
@@ -189,14 +194,14 @@
             idle = next(name for name, s in stats.items() if not s.running)
             stalled = next(name for name in stats if name != idle)
             await fleet.set_worker(idle, stall_after=-1)
-            reply = await asked
+            reply = await reply_task
             assert (reply.whole, reply.body) == (True, join_events(b"hi"))
             assert (await fleet.read_stats(stalled)).running == 0
 
     run(work)
 
 
-def test_a_stream_that_may_not_be_resumed_ends_visibly_cut(tmp_path: Path) -> None:
+def test_a_stream_that_must_not_be_resumed_is_visibly_truncated(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=2) as fleet:
             await fleet.set_workers("llm", events=EVENTS, cut_after=3)
@@ -219,57 +224,58 @@
     run(work)
 
 
-def test_work_ends_soon_after_its_caller_has_gone(tmp_path: Path) -> None:
-    # The caller closes its connection in the middle of a stream. The engine would go on for
-    # seconds on what nobody reads.
+def test_a_stream_is_cancelled_soon_after_its_caller_disconnects(tmp_path: Path) -> None:
+    # The caller closes its connection in the middle of a stream. Without a cancellation, the engine
+    # would continue for seconds to produce events that nobody reads.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.set_workers("llm", events=200, event_gap=0.05)
-            asked = asyncio.ensure_future(fleet.ask("/plan/stream", b"hi", Prefix_Hash=PROMPT))
+            reply_task = asyncio.ensure_future(fleet.ask("/plan/stream", b"hi", Prefix_Hash=PROMPT))
 
-            async def runs() -> bool:
+            async def is_running() -> bool:
                 return (await fleet.read_stats("engine-0")).running == 1
 
-            await wait_until("a run", runs)
-            asked.cancel()
+            await wait_until("a run", is_running)
+            reply_task.cancel()
 
-            async def has_ended() -> bool:
+            async def is_cancelled() -> bool:
                 stats = await fleet.read_stats("engine-0")
                 return stats.running == 0 and stats.cancelled == 1
 
-            await wait_until("the end of the run", has_ended, 0.5)
+            await wait_until("the end of the run", is_cancelled, 0.5)
 
     run(work)
 
 
-def test_a_long_body_that_is_answered_early_is_sent_to_its_end_or_not_at_all(
+def test_a_large_body_that_is_answered_early_is_sent_completely_or_not_at_all(
     tmp_path: Path,
 ) -> None:
-    # The worker rejects from the head alone and reads the body afterwards. Other bytes in its
-    # place would be read as the body, or as a request that nobody sent.
+    # The worker rejects the request after reading only its head, and reads the body afterwards. If
+    # the connection were reused before the body was sent, the worker would take the bytes of the
+    # next request for the rest of the body, or parse a request that nobody sent.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             await fleet.set_worker("plain-0", early=True)
-            long = b"x" * 900_000
-            reply = await fleet.ask("/book/x", long)
+            large_body = b"x" * 900_000
+            reply = await fleet.ask("/book/x", large_body)
             assert reply.status == 503 and "retry-after" in reply.headers
             await fleet.set_worker("plain-0", early=False)
             assert (await fleet.ask("/book/y", b"short")).status == 200
             stats = await fleet.read_stats("plain-0")
-            assert {seen.body for seen in stats.seen} <= {long.decode(), "short"}
+            assert {seen.body for seen in stats.seen} <= {large_body.decode(), "short"}
 
     run(work)
 
 
-def test_requests_within_requests_are_not_run(tmp_path: Path) -> None:
-    # A body whose length is told in two ways hides a second request from whoever goes by the
-    # one, and shows it to whoever goes by the other.
+def test_a_request_smuggled_in_a_body_is_not_run(tmp_path: Path) -> None:
+    # A request states the length of its body in two contradictory ways. A receiver that uses one of
+    # them sees a single request; a receiver that uses the other sees a second one in its body.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             hidden = b"GET /read/hidden HTTP/1.1\r\nHost: chats.example\r\n\r\n"
             chunked = b"0\r\n\r\n" + hidden
-            node = fleet.instances["front-0"]
-            reader, writer = await asyncio.open_connection(*node.callers)
+            instance = fleet.instances["front-0"]
+            reader, writer = await asyncio.open_connection(*instance.callers)
             head = (
                 "POST /book/x HTTP/1.1\r\nHost: chats.example\r\nAttempt-Id: outer\r\n"
                 "X-Api-Key: key-of-the-pilgrims\r\nTransfer-Encoding: chunked\r\n"
@@ -284,7 +290,7 @@
     run(work)
 
 
-def test_an_unframed_request_and_wrong_headers_are_refused_clearly(tmp_path: Path) -> None:
+def test_invalid_headers_are_refused_with_status_400(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             for headers in ({"Deadline_Ms": "soon"}, {"Attempt_Id": ""}, {"Deadline_Ms": "-1"}):
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -1,4 +1,7 @@
-"""The whole path on a calm day: callers, instances, store and workers as separate processes."""
+"""Tests of the whole request path without faults.
+
+Callers, instances, store and workers are separate processes.
+"""
 
 from __future__ import annotations
 
@@ -25,9 +28,9 @@
     run(work)
 
 
-def test_what_workers_are_told_is_the_system_s_word(tmp_path: Path) -> None:
-    # A caller sends headers that only the system may set, to be taken for another account, to
-    # hold an engine's memory or to go on with another request's run. None of them goes on.
+def test_callers_cannot_set_headers_that_only_the_fleet_may_set(tmp_path: Path) -> None:
+    # A caller sends headers that only the fleet may set, in order to impersonate another account,
+    # to reserve an engine's memory or to continue another request's run. None is forwarded.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             forged = {
@@ -70,16 +73,16 @@
     async def work() -> None:
         async with start_fleet(tmp_path, instances=3, engines=4) as fleet:
             for number in range(9):
-                own = f"aa11:400,bb22:9000,{number:x}f:20"
+                prefix_hash = f"aa11:400,bb22:9000,{number:x}f:20"
                 name = f"front-{number % 3}"
-                await fleet.ask("/chat/stream", b"hi", instance=name, Prefix_Hash=own)
+                await fleet.ask("/chat/stream", b"hi", instance=name, Prefix_Hash=prefix_hash)
             stats = await fleet.read_all_stats("llm")
             assert sorted(sum(s.runs.values()) for s in stats.values()) == [0, 0, 0, 9]
 
     run(work)
 
 
-def test_keys_routes_and_public_routes(tmp_path: Path) -> None:
+def test_unknown_keys_and_paths_are_refused_and_public_routes_need_no_key(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             assert (await fleet.ask("/read/x", X_Api_Key="nobody's")).status == 401
@@ -95,24 +98,24 @@
     run(work)
 
 
-def test_an_instance_without_a_configuration_says_when_to_come_back(tmp_path: Path) -> None:
-    # The instance starts while the store is away and no other knows the configuration: a 404 or
-    # 401 would deny what is allowed, so it answers 503 until it knows.
+def test_an_instance_without_a_configuration_refuses_with_retry_after(tmp_path: Path) -> None:
+    # The instance starts while the store is unavailable and no other instance has the
+    # configuration. A 404 or 401 could be wrong, so it answers 503 until it has the configuration.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
-            node = fleet.instances["front-0"]
-            assert node.process is not None
-            await node.process.kill()
+            instance = fleet.instances["front-0"]
+            assert instance.process is not None
+            await instance.process.kill()
             await fleet.set_store(status=503)
             await fleet.start_instance("front-0")
 
-            async def refused() -> bool:
+            async def is_refused() -> bool:
                 reply = await fleet.ask("/read/x")
                 assert reply.status in (0, 503)
                 return reply.status == 503 and float(reply.headers["retry-after"]) > 0
 
-            await wait_until("a refusal", refused)
-            ready = await fleet.call((node.ip, fleet._ports["ready"]), "GET", "/ready")
+            await wait_until("a refusal", is_refused)
+            ready = await fleet.call((instance.ip, fleet._ports["ready"]), "GET", "/ready")
             assert ready.status == 503
             await fleet.set_store(status=0)
             await fleet.wait_ready("front-0")
@@ -121,17 +124,17 @@
     run(work)
 
 
-def test_logs_and_metrics_tell_what_became_of_a_request(tmp_path: Path) -> None:
+def test_logs_and_metrics_record_the_outcome_of_a_request(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             reply = await fleet.ask("/chat/stream", b"hi", Prefix_Hash=PROMPT)
             assert reply.status == 200
 
-            # The line is written once the answer has gone out, so the caller may be faster.
-            async def is_told() -> bool:
+            # The line is written after the answer is sent, so it may not be there yet.
+            async def is_logged() -> bool:
                 return any(line["event"] == "ended" for line in fleet.read_log("front-0"))
 
-            await wait_until("the line about the request's end", is_told, 2.0)
+            await wait_until("the log line about the end of the request", is_logged, 2.0)
             lines = {line["event"]: line for line in fleet.read_log("front-0")}
             sent, ended = lines["sent"], lines["ended"]
             assert sent["id"] == ended["id"]
