--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -35,7 +35,7 @@
 # whether the request ran. Some targets drop connections that were idle for 0.3 s.
 NON_IDEMPOTENT_MAX_IDLE_S: Final = 0.2
 # If a connection breaks after a shorter idle time than this, idleness was not the cause.
-MIN_IDLE_DEATH_S: Final = 0.1
+MIN_DEAD_IDLE_TIME_S: Final = 0.1
 # Answers up to this size are buffered until they are complete, so that one that was truncated can
 # be replaced by another target's.
 MAX_BUFFERED_ANSWER_BYTES: Final = 262_144
@@ -147,7 +147,7 @@
             outcome = await self._process_answer(request, choice.target, answer, connection)
         except HttpFailure as failure:
             outcome = self._handle_failure(request, choice.target, failure)
-            if answer is None and self._check_idle_death(
+            if answer is None and self._record_if_dead_while_idle(
                 request, choice.target, connection, failure
             ):
                 # This says nothing about the target's health.
@@ -360,15 +360,16 @@
             self.crash_listener(request, target)
         return AttemptOutcome.BROKEN
 
-    def _check_idle_death(
+    def _record_if_dead_while_idle(
         self, request: OpenRequest, target: Target, connection: Connection, failure: HttpFailure
     ) -> bool:
         """Return whether the attempt failed because the connection had died while it was idle.
 
-        Each such failure lowers the allowed idle time of connections to the target. A target that
-        closes connections of any age is therefore detected at the next new connection.
+        If so, record that. Each such failure lowers the allowed idle time of connections to the
+        target. A target that closes connections of any age is therefore detected at the next new
+        connection.
         """
-        if connection.idle_time_s < MIN_IDLE_DEATH_S or failure.stage is not SendStage.SENT:
+        if connection.idle_time_s < MIN_DEAD_IDLE_TIME_S or failure.stage is not SendStage.SENT:
             return False
         if failure.reason == REASON_TIMEOUT:
             return False
