--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -1,4 +1,4 @@
-"""One gateway instance: its servers, its life from start to planned stop, and what it watches."""
+"""Runs one gateway instance: its servers, its background tasks, and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from rhubarbbend.gateway._follower import StateFollower
 from rhubarbbend.gateway._interfaces import Adapter
 from rhubarbbend.gateway._journal import Journal
-from rhubarbbend.gateway._load_telling import LoadTelling
+from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._metrics import CONTENT_TYPE
 from rhubarbbend.gateway._peers import PeerClient, PeerServer
 from rhubarbbend.gateway._serving import RequestServer
@@ -28,35 +28,37 @@
 from rhubarbbend.http import ConnectionPool, Exchange, HttpServer, ServerLimits
 from rhubarbbend.stop_signals import STOP_SIGNALS, ignore_late_stop
 
-# Idle connections to targets are kept for so long at the most, in seconds.
-TARGET_IDLE: Final = 10.0
-# Descriptors that are not for callers: connections to targets, store and peers, files.
+# Maximum time for which an idle connection to a target or another instance is kept.
+TARGET_IDLE_TIMEOUT_S: Final = 10.0
+# File descriptors that callers cannot use: connections to targets, the store and other instances,
+# and files.
 RESERVED_DESCRIPTORS: Final = 700
-# Of the memory that the process may use, what callers' bodies may take together. The rest is for
-# the program (17 MB), answers on their way and what the system holds of connections.
-HELD_PART: Final = 0.25
-# How often the process looks whether it has been away, and how long away counts.
-WATCH_INTERVAL: Final = 0.25
-PAUSE_MARGIN: Final = 0.75
-HOUSEKEEPING_INTERVAL: Final = 1.0
-# The settings may change without a signal; reading the file takes 0.1 ms.
-SETTINGS_INTERVAL: Final = 5.0
-# Settings that hold for the life of a process.
-FIXED_SETTINGS: Final = frozenset(
+# Fraction of the process's memory limit that buffered request bodies may use together. The rest is
+# for the program (17 MB), responses in transit and the kernel's buffers for connections.
+BUFFERED_BODY_FRACTION: Final = 0.25
+# How often the process checks whether it was paused, and the delay from which it counts as paused.
+PAUSE_CHECK_INTERVAL_S: Final = 0.25
+MIN_PAUSE_S: Final = 0.75
+HOUSEKEEPING_INTERVAL_S: Final = 1.0
+# The settings file may change without a signal. Reading it takes 0.1 ms.
+SETTINGS_RELOAD_INTERVAL_S: Final = 5.0
+# Settings that only take effect when the process is restarted.
+RESTART_ONLY_SETTINGS: Final = frozenset(
     {"instance", "zone", "callers", "ready", "store", "peers", "advertised", "metrics"}
 )
-# The platform asks for readiness once a second and takes an instance out after two misses; until
-# then new connections still come and are served.
-OUT_OF_ROTATION: Final = 2.6
-# Of the time until the process is killed, what is left for the last bytes to go out.
-STOP_MARGIN: Final = 0.6
-STOP_POLL: Final = 0.05
-# Places are told together after this time; a chat's next request comes seconds later.
-PLACES_DELAY: Final = 0.05
+# The platform checks readiness once a second and takes an instance out of rotation after two failed
+# checks. Until then new connections still arrive and are served.
+READINESS_PROPAGATION_S: Final = 2.6
+# Time left before the process is killed, in which the last bytes are sent.
+STOP_MARGIN_S: Final = 0.6
+STOP_POLL_INTERVAL_S: Final = 0.05
+# Updates of prompt locations are sent in batches after this delay, which is short enough: the next
+# request of a chat comes seconds later.
+LOCATION_BATCH_DELAY_S: Final = 0.05
 
 
 class Instance:
-    """One process of the fleet. Invariant: it serves from its start until `run` returns."""
+    """One gateway process. Invariant: it serves from its start until `run` returns."""
 
     def __init__(
         self,
@@ -67,14 +69,14 @@
         listener: socket | None = None,
     ) -> None:
         self.settings = settings
-        # Listens for callers since before the program was loaded, if it could.
+        # Already listening since before the program was loaded; None if that was not possible.
         self._listener = listener
         self._read_settings = read_settings
         self.state = State(settings, adapter.decoder.tables, journal)
         self._adapter = adapter
         self._journal = journal
-        self._pool = ConnectionPool(TARGET_IDLE)
-        self._peer_pool = ConnectionPool(TARGET_IDLE)
+        self._pool = ConnectionPool(TARGET_IDLE_TIMEOUT_S)
+        self._peer_pool = ConnectionPool(TARGET_IDLE_TIMEOUT_S)
         attempts = AttemptRunner(self.state, self._pool, adapter.targets, read_clock)
         self._requests = RequestServer(self.state, adapter.callers, attempts, read_clock)
         selector = ReaderSelector(settings.instance, settings.zone)
@@ -84,51 +86,53 @@
         self._follower = StateFollower(
             self.state, adapter.store, adapter.decoder, self._peers, selector
         )
-        self._load_telling = LoadTelling(self.state, selector)
+        self._in_flight_protocol = InFlightProtocol(self.state, selector)
         self._callers = HttpServer(self._requests.serve)
         self._servers: list[HttpServer] = [self._callers]
         self._background: set[asyncio.Task[None]] = set()
-        self._stop_asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._limits_version = -1
         self._settings_read_at = 0.0
-        self._has_places = asyncio.Event()
-        self.state.placement.prompt_locations.on_update = self._has_places.set
+        self._has_location_updates = asyncio.Event()
+        self.state.placement.prompt_locations.on_update = self._has_location_updates.set
 
     async def run(self) -> None:
-        """Serve until a planned stop has ended."""
-        own = self.settings
+        """Serve until a requested stop has completed."""
+        settings = self.settings
         self.state.started_at = read_clock()
-        self._log("started", version=VERSION, pid=os.getpid(), zone=own.zone)
-        self._set_gauges()
+        self._log("started", version=VERSION, pid=os.getpid(), zone=settings.zone)
+        self._register_gauges()
         self._handle_signals()
         await self._listen()
         self._follower.start()
-        self._spawn(self._watch_pauses())
-        self._spawn(self._keep_house())
-        self._spawn(self._tell_places())
-        if own.reached_at is not None:
-            sends_from = own.peers if own.advertised is not None else None
-            row = InstanceRow(own.zone, *own.reached_at, own.link, own.cores, sends_from)
-            self._spawn(self._follower.instances.join(row))
-        await self._stop_asked.wait()
+        self._spawn(self._detect_pauses())
+        self._spawn(self._run_housekeeping())
+        self._spawn(self._broadcast_prompt_locations())
+        if settings.peer_address is not None:
+            sends_from = settings.peers if settings.advertised is not None else None
+            row = InstanceRow(
+                settings.zone, *settings.peer_address, settings.link, settings.cores, sends_from
+            )
+            self._spawn(self._follower.instance_list.join(row))
+        await self._stop_requested.wait()
         await self._stop()
 
     async def _listen(self) -> None:
-        own = self.settings
+        settings = self.settings
         if self._listener is None:
-            await self._callers.listen(*own.callers)
+            await self._callers.listen(*settings.callers)
         else:
             await self._callers.listen_on(self._listener)
-        await self._serve_on(own.ready, self._serve_ready)
-        if own.peers is not None:
-            await self._serve_on(own.peers, PeerServer(self.state).serve)
-            await self._load_telling.open(own.peers)
-            self._spawn(self._load_telling.run())
-        if own.metrics is not None:
+        await self._serve_on(settings.ready, self._serve_ready)
+        if settings.peers is not None:
+            await self._serve_on(settings.peers, PeerServer(self.state).serve)
+            await self._in_flight_protocol.open(settings.peers)
+            self._spawn(self._in_flight_protocol.run())
+        if settings.metrics is not None:
             try:
-                await self._serve_on(own.metrics, self._serve_metrics)
+                await self._serve_on(settings.metrics, self._serve_metrics)
             except OSError as error:
-                # Callers are served without it; whoever reads metrics sees that they are missing.
+                # Callers can be served without it, and missing metrics are noticed by their reader.
                 self._log("metrics_unavailable", reason=str(error))
 
     async def _serve_on(
@@ -138,12 +142,12 @@
         await server.listen(*address)
         self._servers.append(server)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._background.add(task)
-        task.add_done_callback(self._note_done)
+        task.add_done_callback(self._handle_task_done)
 
-    def _note_done(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_done(self, task: asyncio.Task[None]) -> None:
         self._background.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.state.metrics.add(codes.INTERNAL_ERRORS)
@@ -152,7 +156,7 @@
     def _log(self, event: str, **fields: Any) -> None:
         self._journal.write(event, read_clock(), **fields)
 
-    # What others ask.
+    # Endpoints of the platform.
 
     async def _serve_ready(self, exchange: Exchange) -> None:
         if self.state.ready:
@@ -163,7 +167,7 @@
     async def _serve_metrics(self, exchange: Exchange) -> None:
         exchange.respond(200, [("Content-Type", CONTENT_TYPE)], self.state.metrics.render())
 
-    def _set_gauges(self) -> None:
+    def _register_gauges(self) -> None:
         state = self.state
         metrics = state.metrics
         metrics.set_gauge("open_requests", lambda: self._requests.open)
@@ -173,7 +177,7 @@
             "instances_heard", lambda: state.loads.peer_counts.count_instances(read_clock())
         )
         metrics.set_gauge("ready", lambda: float(state.ready))
-        metrics.set_gauge("store_reached", lambda: float(self._follower.store_reached))
+        metrics.set_gauge("store_reached", lambda: float(self._follower.is_store_reachable))
         metrics.set_gauge("reads_store", lambda: float(self._follower.reads_store))
         metrics.set_gauge(
             "config_version", lambda: -1 if state.catalog is None else state.catalog.version
@@ -182,49 +186,50 @@
 
     # Housekeeping.
 
-    async def _watch_pauses(self) -> None:
-        """Notice that this process did not run for a while.
+    async def _detect_pauses(self) -> None:
+        """Detect that this process did not run for a while, as when its machine was suspended.
 
-        What it knows may be out of date and its connections dead; the steady clock may not have
-        counted the time, so the clock that does is looked at too.
+        After a pause, what the instance knows may be out of date and its connections may be dead.
+        The monotonic clock may not advance during a suspension, so the boot-time clock is checked
+        too.
         """
         before, before_boot = read_clock(), _read_boot_clock()
         while True:
-            await asyncio.sleep(WATCH_INTERVAL)
+            await asyncio.sleep(PAUSE_CHECK_INTERVAL_S)
             now, boot = read_clock(), _read_boot_clock()
-            away = max(now - before, boot - before_boot) - WATCH_INTERVAL
+            pause = max(now - before, boot - before_boot) - PAUSE_CHECK_INTERVAL_S
             before, before_boot = now, boot
-            if away > PAUSE_MARGIN:
+            if pause > MIN_PAUSE_S:
                 self.state.metrics.add(codes.PAUSES)
-                self._log("paused", seconds=round(away, 3))
+                self._log("paused", seconds=round(pause, 3))
                 self._pool.close_all_idle()
                 self._peer_pool.close_all_idle()
                 self._follower.refresh()
 
-    async def _tell_places(self) -> None:
-        """Tell the other instances of prompts that are not where they would look."""
+    async def _broadcast_prompt_locations(self) -> None:
+        """Notify the other instances of prompts sent to targets where they would not look."""
         while True:
-            await self._has_places.wait()
-            await asyncio.sleep(PLACES_DELAY)
-            self._has_places.clear()
-            places = self.state.placement.prompt_locations.pop_updates(read_clock())
-            await self._peers.tell(Note(places))
+            await self._has_location_updates.wait()
+            await asyncio.sleep(LOCATION_BATCH_DELAY_S)
+            self._has_location_updates.clear()
+            locations = self.state.placement.prompt_locations.pop_updates(read_clock())
+            await self._peers.tell(Note(locations))
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await asyncio.sleep(HOUSEKEEPING_INTERVAL)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             now = read_clock()
             self._pool.close_expired(now)
             self._peer_pool.close_expired(now)
             self._apply_limits()
-            if now - self._settings_read_at >= SETTINGS_INTERVAL:
-                self._reload()
+            if now - self._settings_read_at >= SETTINGS_RELOAD_INTERVAL_S:
+                self._reload_settings()
 
-    def _reload(self) -> None:
-        """Read the settings anew; they may change with a signal or without one.
+    def _reload_settings(self) -> None:
+        """Read the settings again, after a signal or at an interval, and apply what changed.
 
-        Bounds are in force at once. An address on which this process listens, or the store's,
-        cannot change while it runs; the log says that it has to be started again for them.
+        Limits take effect at once. The addresses on which this process listens and the address of
+        the store cannot change while it runs; the log names the settings that need a restart.
         """
         self._settings_read_at = read_clock()
         try:
@@ -239,11 +244,11 @@
         ]
         if not changed:
             return
-        fixed = [name for name in changed if name in FIXED_SETTINGS]
-        kept = {name: getattr(self.settings, name) for name in fixed}
+        restart_only = [name for name in changed if name in RESTART_ONLY_SETTINGS]
+        kept = {name: getattr(self.settings, name) for name in restart_only}
         self.settings = msgspec.structs.replace(settings, **kept)
         self.state.apply_settings(self.settings)
-        self._log("reloaded", changed=changed, needs_start=fixed or None)
+        self._log("reloaded", changed=changed, needs_start=restart_only or None)
 
     def _apply_limits(self) -> None:
         catalog = self.state.catalog
@@ -255,54 +260,54 @@
             ServerLimits(
                 max_header_bytes=limits.max_header_bytes,
                 max_body_bytes=limits.max_body_bytes,
-                max_buffered_body_bytes=int(self.settings.memory * HELD_PART),
+                max_buffered_body_bytes=int(self.settings.memory * BUFFERED_BODY_FRACTION),
                 head_timeout=limits.header_timeout,
                 idle_timeout=limits.idle_timeout,
                 max_connections=max(64, self.settings.max_descriptors - RESERVED_DESCRIPTORS),
             )
         )
 
-    # The end.
+    # Shutdown.
 
     def _handle_signals(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, self._stop_asked.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        for signal_number in STOP_SIGNALS:
+            loop.add_signal_handler(signal_number, self._stop_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
 
     async def _stop(self) -> None:
-        """End without cutting a request: out of rotation first, then the last answers.
+        """Shut down without interrupting a request: leave the rotation, then finish open requests.
 
-        Readiness goes at once. Connections still come until the platform has seen that, and are
-        served; every answer from now on ends its connection.
+        Readiness is withdrawn at once. Until the platform notices, new connections still arrive and
+        are served; from now on every response closes its connection.
         """
-        began = read_clock()
-        killed_at = began + self.settings.stop_grace - STOP_MARGIN
+        stop_began_at = read_clock()
+        killed_at = stop_began_at + self.settings.stop_grace - STOP_MARGIN_S
         self.state.stopping = True
         self._log("stopping", open=self._requests.open)
         self._callers.start_draining()
         if self.settings.peers is not None:
-            self._spawn(self._follower.instances.leave())
-        await asyncio.sleep(min(OUT_OF_ROTATION, self.settings.stop_grace / 3))
+            self._spawn(self._follower.instance_list.leave())
+        await asyncio.sleep(min(READINESS_PROPAGATION_S, self.settings.stop_grace / 3))
         self._callers.stop_accepting()
         while self._requests.open and read_clock() < killed_at:
-            await asyncio.sleep(STOP_POLL)
-        cut = self._requests.open
-        if not cut:
-            # Answers that were written may still be on their way out.
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
+        unfinished = self._requests.open
+        if not unfinished:
+            # Responses that were written may still be in transit.
             try:
                 async with asyncio.timeout_at(killed_at):
                     await self._callers.finish()
             except TimeoutError:
                 self._log("callers_slow")
         self._follower.stop()
-        self._log("stopped", cut=cut, after=round(read_clock() - began, 3))
+        self._log("stopped", cut=unfinished, after=round(read_clock() - stop_began_at, 3))
         self._journal.close()
         ignore_late_stop(asyncio.get_running_loop())
 
 
 def _read_boot_clock() -> float:
-    """Give the time since the machine started, with the time that it was suspended."""
+    """Return the seconds since the machine booted, including the time it was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -312,9 +317,9 @@
     read_settings: SettingsReader,
     listener: socket | None = None,
 ) -> int:
-    """Run an instance to its planned stop; gives the exit status.
+    """Run an instance until a requested stop has completed, and return the exit status.
 
-    `listener` listens on the callers' address already, if it is given.
+    `listener`, if given, is a socket that already listens on the callers' address.
     """
     journal = Journal(settings.instance)
     asyncio.run(Instance(settings, adapter, journal, read_settings, listener).run())
--- a/rhubarbbend/gateway/_instance_list.py
+++ b/rhubarbbend/gateway/_instance_list.py
@@ -1,7 +1,8 @@
-"""Keeps this instance on the list of instances, and that list up to date.
+"""Keeps this instance on the list of instances, and this instance's copy of the list up to date.
 
-The list lies in the store, in a table of the system's own. It divides the bounds among all and says
-who reads for a zone; rows of instances that are gone for good lapse.
+The list is a table of the store that only instances use. It determines how the fleet's limits are
+divided and which instances read the store for a zone. Rows of instances that are permanently gone
+expire.
 """
 
 from __future__ import annotations
@@ -15,107 +16,115 @@
 
 from rhubarbbend.core.mirror import MirroredRow
 from rhubarbbend.core.readers import RENEW_INTERVAL_S, InstanceLeaseTracker, InstanceRow
-from rhubarbbend.gateway._intake import StateIntake
-from rhubarbbend.gateway._peers import Hello, PeerClient
+from rhubarbbend.gateway._intake import StateUpdater
+from rhubarbbend.gateway._peers import JoinNotice, PeerClient
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
 from rhubarbbend.storage import RowStore, StoreError, VersionConflict
 
-# The list of instances only divides bounds among them, and those that join say so themselves.
-INSTANCES_INTERVAL: Final = 20.0
-# Of those that start together the first read a list without the others, and may take a large zone
-# for a small one, in which nobody would tell them more. All start within 0.3 s of one another.
-FIRST_INTERVALS: Final = (1.0, 2.0)
-JOIN_PAUSE: Final = 1.0
-# How often an instance looks whether its row is on the list and due to be written again: not more
-# often than the list is read, or one that is missed would be written twice.
-ROW_CHECK_INTERVAL: Final = 30.0
+# This long interval is enough: the list only divides limits among the instances, and instances that
+# join announce themselves.
+LIST_READ_INTERVAL_S: Final = 20.0
+# When instances start together, the first of them reads a list without the others. It may then take
+# a large zone for a small one, in which no reader would relay updates to it. All start within 0.3 s
+# of one another.
+FIRST_READ_INTERVALS_S: Final = (1.0, 2.0)
+JOIN_RETRY_DELAY_S: Final = 1.0
+# How often an instance checks whether its row is on the list and due to be renewed. It must not be
+# shorter than the interval at which the list is read, or a missing row would be written twice.
+ROW_CHECK_INTERVAL_S: Final = 30.0
 
 
-class InstanceList:
-    """Invariant: from `join` to `leave` this instance is listed, or writes its row until it is."""
+class InstanceListMaintainer:
+    """Registers this instance in the store and follows the list of instances.
+
+    Invariant: from `join` to `leave` the instance is listed, or retries writing its row until it
+    is.
+    """
 
     def __init__(
         self,
         state: State,
         store: RowStore,
-        intake: StateIntake,
+        updater: StateUpdater,
         peers: PeerClient,
         on_failure: Callable[[str, StoreError], None],
     ) -> None:
         self._state = state
         self._store = store
-        self._intake = intake
+        self._updater = updater
         self._peers = peers
-        # Told of a table and why a call for it failed.
+        # Called with the table and the error when reading the list fails.
         self._on_failure = on_failure
         self._leases = InstanceLeaseTracker()
-        # Whether the list has been read after all that started together are on it.
-        self.is_settled = False
+        # Whether the list has been read after all instances that started together are on it.
+        self.has_converged = False
 
     async def join(self, row: InstanceRow) -> None:
-        """Tell the other instances where this one is reached, learn of them, stay on the list.
+        """Register this instance, read the list, announce the instance, and keep it registered.
 
-        The row is written before the list is read: of two that join at once, at least the later
-        one reads of the other, and tells it.
+        The row is written before the list is read: of two instances that join at the same time, at
+        least the later one reads the other's row and notifies it.
         """
-        own = self._state.settings.instance
+        own_id = self._state.settings.instance
         value = msgspec.json.encode(row)
         while True:
             try:
-                await self._store.put_row(INSTANCE_TABLE, own, value)
+                await self._store.put_row(INSTANCE_TABLE, own_id, value)
                 await self._read()
             except StoreError as error:
                 self._log("join_failed", reason=str(error))
-                await asyncio.sleep(JOIN_PAUSE)
+                await asyncio.sleep(JOIN_RETRY_DELAY_S)
                 continue
             break
-        await self._peers.tell_hello(Hello(own, row))
-        await self._keep_row(own, value)
+        await self._peers.broadcast_join(JoinNotice(own_id, row))
+        await self._renew_row(own_id, value)
 
-    async def _keep_row(self, own: str, value: bytes) -> None:
-        """Write the own row anew now and then, and as soon as it is missed, until it is to go.
+    async def _renew_row(self, own_id: str, value: bytes) -> None:
+        """Write this instance's row again at intervals, and when it is missing, until the stop.
 
-        One that could not write it for long finds it dropped when the store is back.
+        If the instance could not write the row for long, the others have removed it by the time the
+        store is reachable again.
         """
         written_at = read_clock()
         while not self._state.stopping:
-            await asyncio.sleep(ROW_CHECK_INTERVAL * self._state.random.uniform(0.8, 1.2))
+            await asyncio.sleep(ROW_CHECK_INTERVAL_S * self._state.random.uniform(0.8, 1.2))
             now = read_clock()
-            is_listed = own in self._state.instances
+            is_listed = own_id in self._state.instances
             if self._state.stopping or (is_listed and now - written_at < RENEW_INTERVAL_S):
                 continue
             if not is_listed:
                 self._log("row_missing")
             try:
-                await self._store.put_row(INSTANCE_TABLE, own, value)
+                await self._store.put_row(INSTANCE_TABLE, own_id, value)
             except StoreError as error:
                 self._log("renewal_failed", reason=str(error))
             else:
                 written_at = now
 
     async def leave(self) -> None:
-        """Take this instance off the list."""
+        """Remove this instance from the list."""
         try:
             await self._store.remove_row(INSTANCE_TABLE, self._state.settings.instance)
         except StoreError as error:
             self._log("leave_failed", reason=str(error))
 
-    async def follow(self, reads: asyncio.Event) -> None:
-        """Read the list on its schedule, and as others join, while `reads` is set.
+    async def follow(self, reads_directly: asyncio.Event) -> None:
+        """Read the list at intervals, and when instances join, while `reads_directly` is set.
 
-        An instance that waits at its zone's reader has the list from there.
+        While it is not set, this instance receives the list from its zone's reader.
         """
-        intervals = itertools.chain(FIRST_INTERVALS, itertools.repeat(INSTANCES_INTERVAL))
+        intervals = itertools.chain(FIRST_READ_INTERVALS_S, itertools.repeat(LIST_READ_INTERVAL_S))
         due_at = read_clock()
         while True:
             now = read_clock()
             if now >= due_at:
                 interval = next(intervals)
-                self.is_settled = interval == INSTANCES_INTERVAL
+                self.has_converged = interval == LIST_READ_INTERVAL_S
                 due_at = now + interval * self._state.random.uniform(0.8, 1.2)
-            # One that joins is read at once, and puts off nothing: others may have joined unheard.
-            await self._state.joined.wait(due_at - now)
-            if not reads.is_set():
+            # A join triggers a read at once but does not postpone the next scheduled one, since
+            # other instances may have joined without this one being notified.
+            await self._state.instance_joined.wait(due_at - now)
+            if not reads_directly.is_set():
                 continue
             try:
                 await self._read()
@@ -124,14 +133,14 @@
 
     async def _read(self) -> None:
         page = await self._store.read_table(INSTANCE_TABLE)
-        self._intake.take_pages({INSTANCE_TABLE: page}, "store")
-        own = self._state.settings.instance
+        self._updater.apply_pages({INSTANCE_TABLE: page}, "store")
+        own_id = self._state.settings.instance
         for row in self._leases.observe(page.rows, read_clock()):
-            if row.key != own:
-                await self._drop_lapsed(row)
+            if row.key != own_id:
+                await self._remove_expired_row(row)
 
-    async def _drop_lapsed(self, row: MirroredRow) -> None:
-        """Take a lost instance off the list, unless it has just written its row again."""
+    async def _remove_expired_row(self, row: MirroredRow) -> None:
+        """Remove an expired row from the list, unless its instance has just renewed it."""
         try:
             await self._store.remove_row(INSTANCE_TABLE, row.key, row.version)
         except VersionConflict:
--- a/rhubarbbend/gateway/_intake.py
+++ b/rhubarbbend/gateway/_intake.py
@@ -1,4 +1,7 @@
-"""Takes in what the copies of the store's tables have become, whoever it was learned from."""
+"""Applies changes of the store's tables to this instance's state, whatever source they came from.
+
+The source is the store, or another instance that has read it.
+"""
 
 from __future__ import annotations
 
@@ -21,49 +24,49 @@
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
 
 
-class StateIntake:
-    """Turns pages of tables into what an instance believes."""
+class StateUpdater:
+    """Applies pages of tables to the state."""
 
     def __init__(self, state: State, decoder: StateDecoder) -> None:
         self._state = state
         self._decoder = decoder
 
-    def take_pages(self, pages: dict[str, TablePage], source: str) -> int:
-        """Take pages in, act on what they change, and give the number of changes."""
+    def apply_pages(self, pages: dict[str, TablePage], source: str) -> int:
+        """Merge pages into the mirror, apply the changes in them, and return their number."""
         count = 0
         for table, changes in self._state.mirror.merge(pages).items():
             count += len(changes)
             if table == INSTANCE_TABLE:
-                self._take_instances(changes)
+                self._apply_instance_changes(changes)
                 continue
             for change in self._decoder.decode(table, changes):
-                self._take(change, source)
+                self._apply(change, source)
         if all(table.known for table in self._state.mirror.tables.values()):
             self._state.registry.mark_initial_read_complete()
-        if self._state.knows_all:
+        if self._state.has_config_and_targets:
             self._state.opened.set()
         if count:
             self._state.changed.notify()
         return count
 
-    def _take_instances(self, changes: list[RowChange]) -> None:
+    def _apply_instance_changes(self, changes: list[RowChange]) -> None:
         for change in changes:
             if change.value is None:
-                self._state.drop_instance(change.key)
+                self._state.remove_instance(change.key)
                 continue
             try:
                 row = msgspec.json.decode(change.value, type=InstanceRow)
             except msgspec.MsgspecError as error:
                 self._log("row_unreadable", row=change.key, reason=str(error))
                 continue
-            self._state.put_instance(change.key, row)
+            self._state.add_instance(change.key, row)
 
-    def _take(self, change: StateChange, source: str) -> None:
+    def _apply(self, change: StateChange, source: str) -> None:
         now = read_clock()
         if isinstance(change, CatalogRead):
-            self._take_catalog(change, source)
+            self._apply_catalog(change, source)
         elif isinstance(change, TargetRead):
-            self._take_target(change, source, now)
+            self._apply_target(change, source, now)
         elif isinstance(change, TargetMissing):
             target = self._state.registry.find(change.target)
             self._state.registry.unregister(change.target, now)
@@ -80,9 +83,9 @@
             self._state.metrics.add(codes.CONFIG_UNREADABLE)
             self._log("row_unreadable", row=change.row, reason=change.reason, source=source)
 
-    def _take_catalog(self, change: CatalogRead, source: str) -> None:
-        known = self._state.catalog
-        if known is not None and change.catalog.version <= known.version:
+    def _apply_catalog(self, change: CatalogRead, source: str) -> None:
+        current = self._state.catalog
+        if current is not None and change.catalog.version <= current.version:
             self._state.metrics.add(codes.CONFIG_STALE)
             return
         self._state.catalog = change.catalog
@@ -90,12 +93,12 @@
         self._log(
             "config_applied",
             version=change.catalog.version,
-            before=None if known is None else known.version,
+            before=None if current is None else current.version,
             routes=change.catalog.route_count,
             source=source,
         )
 
-    def _take_target(self, change: TargetRead, source: str, now: float) -> None:
+    def _apply_target(self, change: TargetRead, source: str, now: float) -> None:
         record = change.record
         target = self._state.registry.register(record, now)
         self._log(
--- a/rhubarbbend/gateway/_interfaces.py
+++ b/rhubarbbend/gateway/_interfaces.py
@@ -1,7 +1,8 @@
-"""What an adapter of a platform implements, and the typed objects that it gives and takes.
+"""Interfaces that the adapter of a platform implements, and the types that they exchange.
 
-An adapter only translates. It names no policy and keeps no state of requests; everything that it
-cannot translate is told to its caller as an error with a reason.
+An adapter only translates between the platform's formats and these types. It makes no decisions and
+keeps no state of requests. What it cannot translate, it reports to its caller as an error with a
+reason.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class BadRequest(Exception):
-    """A caller's request that cannot be understood."""
+    """Raised for a caller's request that cannot be parsed."""
 
     def __init__(self, code: ErrorCode, detail: str) -> None:
         super().__init__(detail)
@@ -34,9 +35,9 @@
 class CallerRequest(msgspec.Struct):
     """A caller's request.
 
-    `id` names this one try of the caller. `target` is the path with its query, `path` without.
-    `time_limit` is how long the caller waits, in seconds from the moment it was read; None: not
-    said. `resume_after` is the id of the last event of a stream that the caller already has.
+    `id` identifies this attempt of the caller. `target` is the path with its query, `path` the path
+    alone. `time_limit` is how many seconds the caller waits after the request was read, None if not
+    stated. `resume_after` is the id of the last event of a stream that the caller already has.
     """
 
     id: str
@@ -53,10 +54,10 @@
 
 
 class TargetOrder(msgspec.Struct, frozen=True):
-    """What a target is told beside the caller's request.
+    """What a target is sent in addition to the caller's request.
 
-    `time_left` is in seconds, `priority` 0 the most urgent. `account` is empty on public routes.
-    `source` is the address of a target that may hold parts of the prompt.
+    `time_left` is in seconds. `priority` is 0 for the most urgent requests. `account` is empty on
+    public routes. `source` is the address of a target that may hold parts of the prompt.
     """
 
     target: str
@@ -68,12 +69,14 @@
 
 
 class TargetAnswer(msgspec.Struct, frozen=True):
-    """The head of a target's answer.
-
-    `request` is the id that it carries, `genuine` whether it bears the target's mark and nothing
-    has changed its body. `not_run` says that the target did not run the request, `misdirected`
-    that another target answered. `held` is the number of requests running and waiting there.
-    `idle_limit` is for how many seconds the target keeps the connection open.
+    """The head of a target's response.
+
+    `request` is the request id that it carries. `genuine` is whether it carries the target's seal
+    and its body has not been changed. `not_run` states that the target did not run the request,
+    `misdirected` that a target other than the intended one responded, `closes` that the target
+    closes the connection. `held` is the number of requests running and waiting at the target, None
+    if it is not stated. `idle_limit` is how many seconds the target keeps an idle connection open,
+    None if it is not stated.
     """
 
     status: int
@@ -88,66 +91,69 @@
 
 
 class CallerProtocol(abc.ABC):
-    """What callers speak."""
+    """The platform's protocol between callers and the fleet."""
 
     @abc.abstractmethod
     def read_id(self, exchange: Exchange) -> str:
-        """Read the id of a caller's try, as far as it has a usable one; empty if not."""
+        """Return the id of a caller's attempt, or an empty string if it has no usable one."""
 
     @abc.abstractmethod
     def read_time_limit(self, exchange: Exchange) -> float | None:
-        """Read for how many seconds a caller waits; None if it does not say, or not clearly."""
+        """Return how many seconds a caller waits, or None if it states no valid number."""
 
     @abc.abstractmethod
     def read_request(self, exchange: Exchange) -> CallerRequest:
-        """Read a request or raise `BadRequest`."""
+        """Parse a request. Raise `BadRequest` if it is invalid."""
 
     @abc.abstractmethod
     def make_error(
         self, code: ErrorCode, verdict: Verdict, retry_after: float, request: str
     ) -> tuple[int, list[tuple[str, str]], bytes]:
-        """Give status, headers and body of an error; `retry_after` in seconds, 0: not said."""
+        """Return status, headers and body of an error response.
+
+        `retry_after` is in seconds, 0 to state none. `request` is the request id.
+        """
 
 
 class TargetProtocol(abc.ABC):
-    """What targets speak."""
+    """The platform's protocol between the fleet and targets."""
 
     @abc.abstractmethod
     def make_headers(self, request: CallerRequest, order: TargetOrder) -> RawHeaders:
-        """Make all headers of the request to a target."""
+        """Return all headers of the request that is sent to a target."""
 
     @abc.abstractmethod
     def read_answer(self, response: Response) -> TargetAnswer:
-        """Read the head of an answer."""
+        """Parse the head of a response."""
 
 
 class CatalogRead(msgspec.Struct, frozen=True):
-    """A version of the configuration has been read."""
+    """A version of the configuration was read."""
 
     catalog: Catalog
 
 
 class TargetRead(msgspec.Struct, frozen=True):
-    """A target's registration has been read."""
+    """A target's registration was read."""
 
     record: TargetRecord
 
 
 class TargetMissing(msgspec.Struct, frozen=True):
-    """A target's registration is there no more, or names no target."""
+    """A target's registration no longer exists, or does not describe a target."""
 
     target: str
 
 
 class ZoneMoved(msgspec.Struct, frozen=True):
-    """An availability zone has been taken out of service, or in again."""
+    """An availability zone was taken out of service, or returned to service."""
 
     zone: str
     out: bool
 
 
 class Unreadable(msgspec.Struct, frozen=True):
-    """A row that cannot be understood; what was known before it holds."""
+    """A row could not be decoded; what was known before stays in force."""
 
     row: str
     reason: str
@@ -157,20 +163,20 @@
 
 
 class StateDecoder(abc.ABC):
-    """Turns rows of the platform's tables into typed changes.
+    """Decodes rows of the platform's tables into typed changes.
 
-    `tables` names the tables to follow, first the one that holds the configuration.
+    `tables` names the tables to follow; the first one holds the configuration.
     """
 
     tables: tuple[str, ...]
 
     @abc.abstractmethod
     def decode(self, table: str, changes: Sequence[RowChange]) -> list[StateChange]:
-        """Decode changed rows; an error in one row is given as `Unreadable`."""
+        """Decode changed rows. A row with an error is returned as `Unreadable`."""
 
 
 class Adapter(msgspec.Struct, frozen=True):
-    """A platform's adapter: one object for each thing that is spoken there."""
+    """A platform's adapter: one object for each interface."""
 
     callers: CallerProtocol
     targets: TargetProtocol
--- a/rhubarbbend/gateway/_peers.py
+++ b/rhubarbbend/gateway/_peers.py
@@ -1,9 +1,9 @@
-"""What instances tell one another: changes of the store's tables, crashes, places, joining.
+"""Messages between instances: changes of the store's tables, crashes, prompt locations, joins.
 
-An instance that reads the store and is answered asks the others for nothing. One that waits at its
-zone's reader, or whose store is away, turns it away or is cut off, learns from the others what has
-come into force. Notes that concern all go to one or two instances a zone, which pass them on to
-those that wait there.
+An instance that reads the store and gets answers queries no other instance. One that waits at its
+zone's reader, or whose store is down, refuses its calls or is partitioned from it, learns from
+other instances what has come into force. Updates for all instances are sent to one or two relays
+per zone, which pass them on to the instances that wait there.
 """
 
 from __future__ import annotations
@@ -23,93 +23,93 @@
 from rhubarbbend.http import ConnectionPool, Exchange, HttpFailure, Response, fetch
 
 CHANGES_PATH: Final = "/peer/changes"
-NOTE_PATH: Final = "/peer/note"
-HELLO_PATH: Final = "/peer/hello"
+UPDATE_PATH: Final = "/peer/note"
+JOIN_PATH: Final = "/peer/hello"
 CONTENT_TYPE: Final = "application/msgpack"
-# An instance of the same region answers in about 3 ms; one that does not in this time is asked
-# again later, and another one at once.
-TIMEOUT: Final = 0.4
-# Answers from this size on are compressed: a configuration of 65 KB shrinks to 11 KB in 0.5 ms, and
-# the weakest links known carry 0.6 MB a second.
-LEAST_COMPRESSED: Final = 2_048
+# An instance in the same region replies in about 3 ms. If it does not reply within this time, it is
+# queried again later, and another instance is queried at once.
+REPLY_TIMEOUT_S: Final = 0.4
+# Minimum size of replies that are compressed: a configuration of 65 KB shrinks to 11 KB in 0.5 ms,
+# and the slowest known links carry 0.6 MB a second.
+MIN_COMPRESSED_BYTES: Final = 2_048
 COMPRESSION_LEVEL: Final = 1
-COMPRESSED: Final = "deflate"
-# What the store's return excuses lasts for 2 s; an older one is not told.
-LONGEST_RETURN: Final = 5.0
+COMPRESSED_ENCODING: Final = "deflate"
+# The grace period after a recovery of the store lasts 2 s, so an older recovery is not reported.
+MAX_RECOVERY_AGE_S: Final = 5.0
 
 
 class ChangesQuery(msgspec.Struct, array_like=True):
-    """The positions of the asker's tables.
+    """A request for everything that changed after the sender's positions in its tables.
 
-    `hold` is for how many seconds the answer may be held back while there is nothing to tell,
-    `news` the asker's position in the notes of the one asked; None: it has none. `loads` is what
-    targets told the asker since it last asked, `loads_after` the time of the one asked up to which
-    the asker has what that heard.
+    `max_wait` is how many seconds the reply may be held back while nothing has changed.
+    `updates_position` is the sender's position in the receiver's log of peer updates, None if it
+    has none. `loads` holds the load reports that the sender got from targets since its last query.
+    `loads_received_until` is the receiver's time up to which the sender has its load reports.
     """
 
-    asker: str
+    sender: str
     positions: dict[str, int]
-    hold: float = 0.0
-    news: int | None = None
+    max_wait: float = 0.0
+    updates_position: int | None = None
     loads: list[TargetLoad] = []
-    loads_after: float = 0.0
+    loads_received_until: float = 0.0
 
 
 class ChangesReply(msgspec.Struct, array_like=True):
-    """What the tables of the one asked have beyond them, and notes.
+    """The responder's table changes after the positions of a query, peer updates and load reports.
 
-    `age`: for how many seconds it has not known that this is all; `held`: for how many the answer
-    was held back; `since_return`: how many ago it saw the store return, None if that is long ago;
-    `at`: the time of the one asked.
+    `staleness` is how many seconds ago the responder last knew its data to be current, `held_s` how
+    many seconds the reply was held back, `since_recovery` how many seconds ago the store recovered
+    as seen by the responder, None if that is long ago. `responder_time` is the responder's clock.
     """
 
     pages: dict[str, TablePage]
-    age: float
-    held: float
-    since_return: float | None
-    news: PeerUpdatePage[Note]
+    staleness: float
+    held_s: float
+    since_recovery: float | None
+    updates: PeerUpdatePage[Note]
     loads: list[TargetLoad]
-    at: float
+    responder_time: float
 
 
-class ReaderPosition(msgspec.Struct):
-    """Up to where an instance has what its reader tells, and when it last told that its own."""
+class ReaderCursor(msgspec.Struct):
+    """How far an instance has read its reader's data, and when it last sent its load reports."""
 
     reader: str = ""
-    news: int | None = None
-    loads: float = 0.0
-    told_at: float = 0.0
+    updates_position: int | None = None
+    loads_received_until: float = 0.0
+    loads_sent_at: float = 0.0
 
 
-class Hello(msgspec.Struct, array_like=True):
-    """An instance has joined."""
+class JoinNotice(msgspec.Struct, array_like=True):
+    """Announces an instance that has joined."""
 
     instance: str
     row: InstanceRow
 
 
 class PeerServer:
-    """Answers other instances."""
+    """Serves the requests of other instances."""
 
     def __init__(self, state: State) -> None:
         self._state = state
 
     async def serve(self, exchange: Exchange) -> None:
-        """Serve one request of an instance; the handler of the peers' HTTP server."""
+        """Serve one request; the handler of the HTTP server for other instances."""
         try:
             if exchange.target == CHANGES_PATH:
                 query = msgspec.msgpack.decode(exchange.body, type=ChangesQuery)
                 await self._serve_changes(exchange, query)
-            elif exchange.target == NOTE_PATH:
-                note = msgspec.msgpack.decode(exchange.body, type=Note)
-                self._state.hear(note, read_clock())
+            elif exchange.target == UPDATE_PATH:
+                update = msgspec.msgpack.decode(exchange.body, type=Note)
+                self._state.apply_peer_update(update, read_clock())
                 _respond(exchange, b"")
-            elif exchange.target == HELLO_PATH:
-                hello = msgspec.msgpack.decode(exchange.body, type=Hello)
-                self._state.put_instance(hello.instance, hello.row)
-                self._state.joined.notify_soon()
-                places = self._state.placement.prompt_locations.list_recent(read_clock())
-                _respond(exchange, msgspec.msgpack.encode(Note(places)))
+            elif exchange.target == JOIN_PATH:
+                notice = msgspec.msgpack.decode(exchange.body, type=JoinNotice)
+                self._state.add_instance(notice.instance, notice.row)
+                self._state.instance_joined.notify_soon()
+                locations = self._state.placement.prompt_locations.list_recent(read_clock())
+                _respond(exchange, msgspec.msgpack.encode(Note(locations)))
             else:
                 exchange.respond(404, [], b"")
         except msgspec.MsgspecError as error:
@@ -117,32 +117,37 @@
             exchange.respond(400, [], b"")
 
     async def _serve_changes(self, exchange: Exchange, query: ChangesQuery) -> None:
-        asked = read_clock()
-        self._state.loads.merge_reports(query.loads, False, asked)
-        # One that lacks a table has no use for an age yet, but for the table as soon as it is here.
+        received_at = read_clock()
+        self._state.loads.merge_reports(query.loads, False, received_at)
+        # A sender that lacks a table has no use for the staleness yet, only for the table as soon
+        # as it is available.
         lacks_table = any(position < 0 for position in query.positions.values())
         while not exchange.closed.is_set():
             now = read_clock()
             pages = self._state.mirror.list_changes(query.positions)
-            news = self._state.peer_updates.list_after(query.news)
-            age = self._state.measure_age(now)
-            left = query.hold - (now - asked)
+            updates = self._state.peer_updates.list_after(query.updates_position)
+            staleness = self._state.compute_staleness(now)
+            remaining = query.max_wait - (now - received_at)
             if not lacks_table:
-                # The asker goes by the age: it must hear of one that has grown too old at once.
-                left = min(left, self._state.timings.max_age - age)
-            if pages or news.items or left <= 0.0:
+                # The sender acts on the staleness, so it must learn at once that it is too high.
+                remaining = min(remaining, self._state.timings.max_age - staleness)
+            if pages or updates.items or remaining <= 0.0:
                 break
-            await self._state.changed.wait(left)
-        away = now - self._state.registry.store_recovered_at
-        since_return = away if away <= LONGEST_RETURN else None
-        aged = PeerUpdatePage([note.add_age(now) for note in news.items], news.position)
-        loads = self._state.loads.list_reports_since(query.loads_after, True, now)
-        reply = ChangesReply(pages, age, now - asked, since_return, aged, loads, now)
+            await self._state.changed.wait(remaining)
+        recovery_age = now - self._state.registry.store_recovered_at
+        since_recovery = recovery_age if recovery_age <= MAX_RECOVERY_AGE_S else None
+        aged_updates = PeerUpdatePage(
+            [update.add_age(now) for update in updates.items], updates.position
+        )
+        loads = self._state.loads.list_reports_since(query.loads_received_until, True, now)
+        reply = ChangesReply(
+            pages, staleness, now - received_at, since_recovery, aged_updates, loads, now
+        )
         _respond(exchange, msgspec.msgpack.encode(reply))
 
 
 class PeerClient:
-    """Asks and tells other instances. Every call ends within its time-out."""
+    """Queries and notifies other instances. Every call ends within its time-out."""
 
     def __init__(self, state: State, pool: ConnectionPool, selector: ReaderSelector) -> None:
         self._state = state
@@ -151,32 +156,43 @@
         self._silent: set[Address] = set()
         self._name = state.settings.instance
 
-    async def ask_changes(self, peer: Address) -> ChangesReply | None:
-        """Ask an instance for what its tables have beyond the own; None without an answer."""
-        return await self._ask(peer, ChangesQuery(self._name, self._list_positions()))
+    async def query_changes(self, peer: Address) -> ChangesReply | None:
+        """Query an instance for table changes, without waiting; return None if it fails."""
+        return await self._query(peer, ChangesQuery(self._name, self._get_table_positions()))
 
-    async def wait_changes(
-        self, peer: Address, hold: float, at: ReaderPosition
+    async def poll_reader(
+        self, peer: Address, max_wait: float, cursor: ReaderCursor
     ) -> ChangesReply | None:
-        """Ask the instance that this one waits at, and give and take what else there is to tell."""
+        """Query the reader that this instance waits at, and exchange load reports and updates.
+
+        The reader holds its reply for up to `max_wait` seconds while nothing changes. `cursor` is
+        advanced if it replies; return None if it does not.
+        """
         now = read_clock()
-        loads = self._state.loads.list_reports_since(at.told_at, False, now)
-        positions = self._list_positions()
-        query = ChangesQuery(self._name, positions, hold, at.news, loads, at.loads)
-        reply = await self._ask(peer, query)
+        loads = self._state.loads.list_reports_since(cursor.loads_sent_at, False, now)
+        positions = self._get_table_positions()
+        query = ChangesQuery(
+            self._name,
+            positions,
+            max_wait,
+            cursor.updates_position,
+            loads,
+            cursor.loads_received_until,
+        )
+        reply = await self._query(peer, query)
         if reply is not None:
-            at.told_at = now
-            at.news = reply.news.position
-            at.loads = reply.at
+            cursor.loads_sent_at = now
+            cursor.updates_position = reply.updates.position
+            cursor.loads_received_until = reply.responder_time
         return reply
 
-    def _list_positions(self) -> dict[str, int]:
+    def _get_table_positions(self) -> dict[str, int]:
         tables = self._state.mirror.tables
         return {name: table.position for name, table in tables.items()}
 
-    async def _ask(self, peer: Address, query: ChangesQuery) -> ChangesReply | None:
+    async def _query(self, peer: Address, query: ChangesQuery) -> ChangesReply | None:
         data = msgspec.msgpack.encode(query)
-        body = await self._send(peer, CHANGES_PATH, data, query.hold + TIMEOUT)
+        body = await self._send(peer, CHANGES_PATH, data, query.max_wait + REPLY_TIMEOUT_S)
         if body is None:
             return None
         try:
@@ -185,45 +201,49 @@
             self._state.journal.write("peer_unreadable", read_clock(), reason=str(error))
             return None
 
-    async def tell(self, note: Note) -> None:
-        """Tell every other instance; this one passes on to those that wait here."""
-        self._state.pass_on(note, read_clock())
-        await self._tell_relays(NOTE_PATH, msgspec.msgpack.encode(note), self._state.instances)
+    async def tell(self, update: Note) -> None:
+        """Send an update to all other instances, including those that wait at this one."""
+        self._state.queue_for_listeners(update, read_clock())
+        await self._send_to_relays(
+            UPDATE_PATH, msgspec.msgpack.encode(update), self._state.instances
+        )
 
-    async def tell_hello(self, hello: Hello) -> None:
-        """Tell every other instance known that this one shares the bounds from now on.
+    async def broadcast_join(self, notice: JoinNotice) -> None:
+        """Notify all other known instances that this one takes its share of the limits from now on.
 
-        Their list of instances may be some time old; until they read it again their parts and
-        this one's would add up to more than the bound. They do not count this one yet, so who is
-        to be told goes by the list without it.
+        The others' list of instances may be outdated; until they read it again, their shares and
+        this one's would add up to more than the limit. They do not count this instance yet, so the
+        relays are determined from the list without it.
         """
         rows = self._state.instances.items()
-        others = {name: row for name, row in rows if name != hello.instance}
-        data = msgspec.msgpack.encode(hello)
-        replies = await self._tell_relays(HELLO_PATH, data, others)
+        others = {name: row for name, row in rows if name != notice.instance}
+        data = msgspec.msgpack.encode(notice)
+        replies = await self._send_to_relays(JOIN_PATH, data, others)
         for reply in replies:
             if reply:
-                told = msgspec.msgpack.decode(reply, type=Note)
-                self._state.placement.prompt_locations.merge_locations(told.places, read_clock())
+                update = msgspec.msgpack.decode(reply, type=Note)
+                self._state.placement.prompt_locations.merge_locations(
+                    update.locations, read_clock()
+                )
 
-    async def _tell_relays(
+    async def _send_to_relays(
         self, path: str, body: bytes, instances: Mapping[str, InstanceRow]
     ) -> list[bytes | None]:
         names = self._selector.list_relays(instances, read_clock())
-        return await asyncio.gather(*(self._tell_one(name, path, body) for name in names))
+        return await asyncio.gather(*(self._send_to_relay(name, path, body) for name in names))
 
-    async def _tell_one(self, name: str, path: str, body: bytes) -> bytes | None:
+    async def _send_to_relay(self, name: str, path: str, body: bytes) -> bytes | None:
         row = self._state.instances.get(name)
         if row is None:
             return None
         reply = await self._send((row.host, row.port), path, body)
         if reply is None:
-            # The next in the order passes on for it.
+            # The next instance in the order is the relay from now on.
             self._selector.record_no_answer(name, read_clock())
         return reply
 
     async def _send(
-        self, peer: Address, path: str, body: bytes, timeout: float = TIMEOUT
+        self, peer: Address, path: str, body: bytes, timeout: float = REPLY_TIMEOUT_S
     ) -> bytes | None:
         headers = [("Content-Type", CONTENT_TYPE)]
         now = read_clock()
@@ -232,20 +252,20 @@
                 response, data = await fetch(
                     self._pool, peer, "POST", path, now, body, headers, timeout=timeout
                 )
-            data = _expand(response, data)
+            data = _decompress(response, data)
         except TimeoutError:
-            self._note_silent(peer, "no answer in time")
+            self._mark_silent(peer, "no reply within the time-out")
             return None
         except (HttpFailure, zlib.error) as failure:
-            self._note_silent(peer, str(failure))
+            self._mark_silent(peer, str(failure))
             return None
         if peer in self._silent:
             self._silent.discard(peer)
             self._state.journal.write("peer_regained", read_clock(), peer=f"{peer[0]}:{peer[1]}")
         return data if response.status == 200 else None
 
-    def _note_silent(self, peer: Address, reason: str) -> None:
-        """Log a peer that gives no answer, once until it does again."""
+    def _mark_silent(self, peer: Address, reason: str) -> None:
+        """Log a peer that does not reply, once until it replies again."""
         if peer not in self._silent:
             self._silent.add(peer)
             self._state.journal.write(
@@ -255,12 +275,12 @@
 
 def _respond(exchange: Exchange, body: bytes) -> None:
     headers = [("Content-Type", CONTENT_TYPE)]
-    if len(body) >= LEAST_COMPRESSED:
+    if len(body) >= MIN_COMPRESSED_BYTES:
         body = zlib.compress(body, COMPRESSION_LEVEL)
-        headers.append(("Content-Encoding", COMPRESSED))
+        headers.append(("Content-Encoding", COMPRESSED_ENCODING))
     exchange.respond(200, headers, body)
 
 
-def _expand(response: Response, body: bytes) -> bytes:
-    is_compressed = response.headers.get("content-encoding") == COMPRESSED
+def _decompress(response: Response, body: bytes) -> bytes:
+    is_compressed = response.headers.get("content-encoding") == COMPRESSED_ENCODING
     return zlib.decompress(body) if is_compressed else body
--- a/rhubarbbend/gateway/_state.py
+++ b/rhubarbbend/gateway/_state.py
@@ -1,4 +1,7 @@
-"""What an instance believes: configuration, targets, other instances. Shared by its parts."""
+"""The state that the parts of an instance share: configuration, targets, other instances, trackers.
+
+It also holds the updates that instances broadcast to one another.
+"""
 
 from __future__ import annotations
 
@@ -35,40 +38,44 @@
     derive_timings,
 )
 
-# The table in which instances tell one another their addresses.
+# The table in which instances publish their addresses.
 INSTANCE_TABLE: Final = "instances"
-# Until the table has been read, this many instances are assumed to share the bounds: more than a
-# small fleet has, so that its parts add up to less than the whole.
+# Number of instances assumed to share the limits until the table has been read. It is larger than a
+# small fleet, so that the shares add up to less than the limit.
 ASSUMED_INSTANCES: Final = 12
 
 
 class CrashNote(msgspec.Struct, frozen=True, array_like=True):
-    """A request was at the crash of a target."""
+    """Reports that a request was running at a target when the target crashed.
+
+    `digest` identifies the request's content.
+    """
 
     digest: str
     target: str
 
 
 class Note(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance tells all others. `at` is the local time at which it was heard.
+    """An update that an instance sends to all others.
 
-    Loads are not kept with the note: whoever waits here is given the latest of each target.
+    `received_at` is the local time at which it was received. Load reports are not kept with the
+    update: an instance that waits at this one gets the latest report of each target.
     """
 
-    places: list[PromptLocation] = []
+    locations: list[PromptLocation] = []
     crashes: list[CrashNote] = []
     loads: list[TargetLoad] = []
-    at: float | None = None
+    received_at: float | None = None
 
     def add_age(self, now: float) -> Note:
-        """Give the note as it has to be passed on now."""
-        waited = 0.0 if self.at is None else now - self.at
-        places = [place.add_age(waited) for place in self.places]
-        return Note(places, self.crashes)
+        """Return the update as it has to be relayed now, with the time since then in its ages."""
+        waited = 0.0 if self.received_at is None else now - self.received_at
+        locations = [location.add_age(waited) for location in self.locations]
+        return Note(locations, self.crashes)
 
 
 class State:
-    """One instance's views, and the trackers of what it does."""
+    """What one instance knows, and the trackers of its own work."""
 
     def __init__(
         self, settings: GatewaySettings, tables: tuple[str, ...], journal: Journal
@@ -84,39 +91,43 @@
         self.registry = TargetRegistry(derive_directory_options(settings))
         self.loads = LoadTracker()
         self.health = HealthTracker()
-        self.cold = ColdTargetShare(settings.instance, settings.cold_overshoot, settings.cold_slack)
+        self.cold_target_share = ColdTargetShare(
+            settings.instance, settings.cold_overshoot, settings.cold_slack
+        )
         self.crashes = CrashTracker()
         options = _make_options(settings)
-        self.placement = Placement(options, self.registry, self.loads, self.health, self.cold)
-        # A new object with each change: what is worked out from it is kept until then.
+        self.placement = Placement(
+            options, self.registry, self.loads, self.health, self.cold_target_share
+        )
+        # Replaced by a new object with each change, so that values computed from it can be cached.
         self.instances: Mapping[str, InstanceRow] = {}
         self.peer_updates: PeerUpdateLog[Note] = PeerUpdateLog()
-        # Up to when it is known that the store held nothing newer.
-        self.known_at = -math.inf
-        # Something has changed that others may wait for.
+        # The latest time at which this instance's data is known to have matched the store.
+        self.up_to_date_at = -math.inf
+        # Notified when something has changed that other tasks or instances may wait for.
         self.changed = Signal()
-        # Instances have joined that the list, as it was read, may not hold.
-        self.joined = Signal()
+        # Notified when instances have joined that may be missing from the list as last read.
+        self.instance_joined = Signal()
         self.stopping = False
         self.started_at = 0.0
         # Set once callers can be served for the first time.
         self.opened = asyncio.Event()
         self._instance_ids: tuple[str, ...] | None = None
-        self._retries: dict[str, RetryBudgetShare] = {}
+        self._retry_budget_shares: dict[str, RetryBudgetShare] = {}
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Go by other bounds from now on; what has been counted towards them stays counted."""
+        """Apply new limits. What has already been counted towards them stays counted."""
         self.settings = settings
         self.timings = derive_timings(settings)
         self.registry.set_options(derive_directory_options(settings))
-        self.cold.set_limit(settings.cold_overshoot, settings.cold_slack)
+        self.cold_target_share.set_limit(settings.cold_overshoot, settings.cold_slack)
         self.placement.set_options(_make_options(settings))
-        for share in self._retries.values():
+        for share in self._retry_budget_shares.values():
             share.set_limit(settings.retry_ratio, settings.retry_slack, settings.retry_window)
 
     @property
-    def knows_all(self) -> bool:
-        """Whether configuration and targets are known."""
+    def has_config_and_targets(self) -> bool:
+        """Whether the configuration and all targets have been read."""
         known = all(
             table.known for name, table in self.mirror.tables.items() if name != INSTANCE_TABLE
         )
@@ -124,75 +135,80 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers can be served, and new ones may come."""
-        return self.knows_all and not self.stopping
+        """Whether callers can be served and new ones are accepted."""
+        return self.has_config_and_targets and not self.stopping
 
     def find_retries(self, service: str) -> RetryBudgetShare:
-        """Find this instance's part of a service's retry budget."""
-        share = self._retries.get(service)
+        """Return this instance's share of a service's retry budget."""
+        share = self._retry_budget_shares.get(service)
         if share is None:
-            own = self.settings
-            share = RetryBudgetShare(own.retry_ratio, own.retry_slack, own.retry_window)
-            self._retries[service] = share
+            settings = self.settings
+            share = RetryBudgetShare(
+                settings.retry_ratio, settings.retry_slack, settings.retry_window
+            )
+            self._retry_budget_shares[service] = share
         return share
 
     def list_instances(self) -> tuple[str, ...]:
-        """List the ids of all instances that share the bounds, this one among them.
+        """Return the ids of all instances that share the limits, including this one.
 
-        The same object is given until the list changes, so that others can keep what they work
-        out from it.
+        The same object is returned until the list changes, so that callers can cache what they
+        compute from it.
         """
         if self._instance_ids is None:
-            own = self.settings.instance
+            own_id = self.settings.instance
             if self.mirror.tables[INSTANCE_TABLE].known:
-                self._instance_ids = tuple(self.instances.keys() | {own})
+                self._instance_ids = tuple(self.instances.keys() | {own_id})
             else:
                 others = (f"unknown-{number}" for number in range(1, ASSUMED_INSTANCES))
-                self._instance_ids = (own, *others)
+                self._instance_ids = (own_id, *others)
         return self._instance_ids
 
-    def put_instance(self, name: str, row: InstanceRow) -> None:
-        """Take in that an instance is there."""
+    def add_instance(self, name: str, row: InstanceRow) -> None:
+        """Add an instance to the list, or replace its row."""
         self.instances = {**self.instances, name: row}
-        self._note_instances()
+        self._handle_instances_changed()
 
-    def drop_instance(self, name: str) -> None:
-        """Take in that an instance is not there any more."""
+    def remove_instance(self, name: str) -> None:
+        """Remove an instance from the list."""
         self.instances = {known: row for known, row in self.instances.items() if known != name}
-        self._note_instances()
+        self._handle_instances_changed()
 
-    def _note_instances(self) -> None:
+    def _handle_instances_changed(self) -> None:
         self._instance_ids = None
         self.loads.expected_peers = len(self.instances.keys() - {self.settings.instance})
 
-    def measure_age(self, now: float) -> float:
-        """Give for how long it has not been known that the store holds nothing newer."""
-        return now - self.known_at
+    def compute_staleness(self, now: float) -> float:
+        """Return how many seconds ago the data was last known to match the store."""
+        return now - self.up_to_date_at
 
-    def show_age(self, now: float) -> float | None:
-        """Give that age for the log; None if nothing was ever known."""
-        return None if math.isinf(self.known_at) else round(self.measure_age(now), 3)
+    def get_logged_staleness(self, now: float) -> float | None:
+        """Return the staleness for log lines; None if no data was ever read."""
+        return None if math.isinf(self.up_to_date_at) else round(self.compute_staleness(now), 3)
 
-    def hear(self, note: Note, now: float) -> None:
-        """Take in what another instance tells, and keep it for those that wait at this one."""
-        self.loads.merge_reports(note.loads, True, now)
-        self.placement.prompt_locations.merge_locations(note.places, now)
-        for crash in note.crashes:
+    def apply_peer_update(self, update: Note, now: float) -> None:
+        """Apply an update of another instance, and queue it for those that wait at this one."""
+        self.loads.merge_reports(update.loads, True, now)
+        self.placement.prompt_locations.merge_locations(update.locations, now)
+        for crash in update.crashes:
             self.crashes.record_crash(crash.digest, crash.target, now)
-            # Found out only with the next crash, it would look as if both went together, and no
-            # request would be blamed.
+            # Marked now: if the target were found unreachable only at the next crash, both would
+            # seem to have failed together, and neither would be attributed to a request.
             self.health.record_unreachable(crash.target, now)
-        self.pass_on(note, now)
+        self.queue_for_listeners(update, now)
 
-    def pass_on(self, note: Note, now: float) -> None:
-        """Keep a note for those that wait at this instance."""
-        if not note.places and not note.crashes:
+    def queue_for_listeners(self, update: Note, now: float) -> None:
+        """Queue an update for the instances that wait at this one."""
+        if not update.locations and not update.crashes:
             return
-        self.peer_updates.add(Note(note.places, note.crashes, at=now))
+        self.peer_updates.add(Note(update.locations, update.crashes, received_at=now))
         self.changed.notify_soon()
 
     def note_lost(self, target: Target, now: float) -> None:
-        """Take in that a target of another zone does not answer: its whole zone may be cut off."""
+        """Mark the whole zone of an unreachable target suspect, if it is not this instance's zone.
+
+        The zone may be partitioned.
+        """
         if target.zone == self.settings.zone:
             return
         doubted = self.health.mark_zone_suspect(self.registry.list_others_in_zone(target), now)
@@ -202,8 +218,8 @@
                 "zone_doubted", now, zone=target.zone, target=target.id, doubted=len(doubted)
             )
 
-    def list_peers(self) -> list[Address]:
-        """List the addresses of the other instances; those of the settings if none is known."""
+    def list_peer_addresses(self) -> list[Address]:
+        """Return the addresses of the other instances, or the configured seeds if none is known."""
         own = (self.settings.peers, self.settings.advertised)
         rows = self.instances.items()
         known = [(row.host, row.port) for name, row in rows if name != self.settings.instance]
@@ -216,7 +232,7 @@
 
 
 def read_clock() -> float:
-    """Give the loop's time, which all decisions of an instance are made at."""
+    """Return the event loop's time in seconds, on which all decisions of an instance are based."""
     return asyncio.get_running_loop().time()
 
 
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -38,41 +38,41 @@
 
     def __init__(self) -> None:
         self.pages = {name: TablePage([], 1, True) for name in (*TABLES, "instances")}
-        self.dead: set[str] = set()
-        self.stuck: set[str] = set()
+        self.silent_watches: set[str] = set()
+        self.stuck_reads: set[str] = set()
         self.failing = False
         self.calls = 0
-        self.followed: list[str] = []
+        self.watched: list[str] = []
         self.written: list[str] = []
         self.removed: list[tuple[str, int | None]] = []
         self.renewed: set[str] = set()
-        self.resets = 0
+        self.closures = 0
 
     async def read_table(self, table: str) -> TablePage:
         self.calls += 1
         if self.failing:
             raise StoreError("away")
-        if table in self.stuck:
+        if table in self.stuck_reads:
             await asyncio.sleep(1.0)
             raise StoreError("timeout")
         return self.pages[table]
 
     async def watch_table(self, table: str, after_version: int, wait: float) -> TablePage:
         self.calls += 1
-        self.followed.append(table)
+        self.watched.append(table)
         if self.failing:
             raise StoreError("away")
-        if table in self.dead:
+        if table in self.silent_watches:
             # Nothing comes until the client gives up; the next call is on a new connection.
-            self.dead.discard(table)
+            self.silent_watches.discard(table)
             await asyncio.sleep(wait + 0.6)
             raise StoreError("timeout")
-        ends = asyncio.get_running_loop().time() + wait
-        resets = self.resets
+        ends_at = asyncio.get_running_loop().time() + wait
+        closures = self.closures
         while self.pages[table].position <= after_version:
-            if self.resets > resets:
+            if self.closures > closures:
                 raise StoreError("given up")
-            if asyncio.get_running_loop().time() >= ends:
+            if asyncio.get_running_loop().time() >= ends_at:
                 return TablePage([], after_version, False)
             await asyncio.sleep(0.02)
         page = self.pages[table]
@@ -89,7 +89,7 @@
             raise VersionConflict(key)
 
     def close_connections(self) -> None:
-        self.resets += 1
+        self.closures += 1
 
 
 def make_follower(store: RowStore) -> tuple[State, StateFollower]:
@@ -120,7 +120,7 @@
     # the configuration goes on. A target begins to leave; whoever does not hear of it sends it
     # work until the feed's wait ends, which was 25 s, and the target is gone in the meantime.
     async def work(state: State, store: ScriptedStore) -> None:
-        store.dead.add("targets")
+        store.silent_watches.add("targets")
         await asyncio.sleep(state.timings.table_wait)
         row = MirroredRow("target-0", b"leaving", 7)
         store.pages["targets"] = TablePage([row], 7, True)
@@ -141,8 +141,8 @@
     async def work(state: State, store: ScriptedStore) -> None:
         for number in range(2):
             row = InstanceRow("zone-a", "127.0.0.1", 1)
-            state.put_instance(f"front-{number + 1}", row)
-            state.joined.notify()
+            state.add_instance(f"front-{number + 1}", row)
+            state.instance_joined.notify()
             await asyncio.sleep(0.2)
         value = b'{"zone":"zone-a","host":"127.0.0.1","port":1}'
         rows = [MirroredRow(f"front-{number}", value, 3) for number in range(6)]
@@ -189,13 +189,13 @@
         pages = {"config": TablePage([], 1, True)}
         return ChangesReply(pages, 0.0, 0.0, None, PeerUpdatePage([], 0), [], 0.0)
 
-    monkeypatch.setattr(PeerClient, "ask_changes", answer)
+    monkeypatch.setattr(PeerClient, "query_changes", answer)
 
     async def work() -> None:
         store = ScriptedStore()
-        store.stuck.add("config")
+        store.stuck_reads.add("config")
         state, follower = make_follower(store)
-        state.put_instance("front-1", InstanceRow("zone-a", "127.0.0.1", 2))
+        state.add_instance("front-1", InstanceRow("zone-a", "127.0.0.1", 2))
         started = asyncio.get_running_loop().time()
         follower.start()
         await asyncio.sleep(0.45)
@@ -224,10 +224,10 @@
     async def work(state: State, store: ScriptedStore) -> None:
         store.pages["instances"] = make_instance_page(7, "front-0", "front-8", "front-9")
         store.renewed.add("front-9")
-        state.joined.notify()
+        state.instance_joined.notify()
         await wait_until("both are judged", lambda: has_removed(store, 2), 2.0)
         assert store.removed[:2] == [("front-8", 7), ("front-9", 7)]
-        assert store.resets == 0
+        assert store.closures == 0
 
     follow(work)
 
@@ -241,18 +241,18 @@
 ) -> None:
     # It was cut off from the store for so long that the others dropped its row. Left off the list,
     # it would share the bounds uncounted.
-    monkeypatch.setattr(_instance_list, "ROW_CHECK_INTERVAL", 0.05)
+    monkeypatch.setattr(_instance_list, "ROW_CHECK_INTERVAL_S", 0.05)
 
     async def work() -> None:
         store = ScriptedStore()
         state, follower = make_follower(store)
         store.pages["instances"] = make_instance_page(2, "front-0")
         joining = asyncio.create_task(
-            follower.instances.join(InstanceRow("zone-a", "127.0.0.1", 1))
+            follower.instance_list.join(InstanceRow("zone-a", "127.0.0.1", 1))
         )
         await asyncio.sleep(0.3)
         assert store.written == ["front-0"]
-        state.drop_instance("front-0")
+        state.remove_instance("front-0")
         await asyncio.sleep(0.3)
         assert len(store.written) > 1
         state.stopping = True
@@ -282,7 +282,7 @@
         reply = ChangesReply({}, 0.0, 0.0, None, PeerUpdatePage([], 0), [], 0.0)
         return reply if reader_lives else None
 
-    monkeypatch.setattr(PeerClient, "wait_changes", answer)
+    monkeypatch.setattr(PeerClient, "poll_reader", answer)
 
     async def work() -> None:
         store = ScriptedStore()
@@ -290,11 +290,11 @@
         state, follower = make_follower(store)
         follower.start()
         row = InstanceRow("zone-a", "127.0.0.1", 1)
-        joining = asyncio.ensure_future(follower.instances.join(row))
+        joining = asyncio.ensure_future(follower.instance_list.join(row))
         await asyncio.sleep(0.6)
         joining.cancel()
         follower.stop()
         assert all(state.mirror.tables[table].known for table in TABLES)
-        assert sorted(store.followed) == ([] if reader_lives else list(TABLES))
+        assert sorted(store.watched) == ([] if reader_lives else list(TABLES))
 
     run(work)
--- a/tests/gateway/test_load_telling.py
+++ b/tests/gateway/test_load_telling.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core.placement import CountScope, InFlightUpdate, compute_target_hash
 from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._journal import Journal
-from rhubarbbend.gateway._load_telling import LoadTelling
+from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._settings import GatewaySettings
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State
 from tests.gateway.harness import run
@@ -20,17 +20,17 @@
 CONNECTIONS = 1_300
 
 
-def make_telling() -> tuple[State, LoadTelling]:
+def make_protocol() -> tuple[State, InFlightProtocol]:
     """Make an instance that knows a large fleet."""
     address = ("127.0.0.1", 1)
     settings = GatewaySettings("front-0", "zone-0", address, address, address)
     state = State(settings, ("config", "targets"), Journal("front-0", descriptor=2))
     state.mirror.merge({INSTANCE_TABLE: TablePage([], 1, True)})
     for number in range(FLEET):
-        state.put_instance(f"front-{number}", InstanceRow(f"zone-{number}", "10.0.0.9", number))
+        state.add_instance(f"front-{number}", InstanceRow(f"zone-{number}", "10.0.0.9", number))
     engines = Service("llm", CONNECTIONS, 0.0, 0.0, Engine(24, 1_000, 1))
     state.catalog = Catalog(1, [], [engines], None, TrafficLimits(1, 1, 1.0, 1.0))
-    return state, LoadTelling(state, ReaderSelector("front-0", "zone-0"))
+    return state, InFlightProtocol(state, ReaderSelector("front-0", "zone-0"))
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     # their counts rejected, engines filled up unseen; with any count believed, one message could
     # make every engine look full.
     async def work() -> None:
-        state, telling = make_telling()
+        state, protocol = make_protocol()
         told = InFlightUpdate(
             f"front-{sender}",
             CountScope.SENDER_GROUP,
@@ -60,7 +60,7 @@
             {compute_target_hash("engine"): count},
             1,
         )
-        telling.datagram_received(msgspec.msgpack.encode(told), (host, 7))
+        protocol.datagram_received(msgspec.msgpack.encode(told), (host, 7))
         assert state.loads.estimate("engine", True, 0.0) == (count if is_taken else 0)
         assert state.metrics.read(codes.PEER_COUNTS_REJECTED) == (0 if is_taken else 1)
 
@@ -69,12 +69,12 @@
 
 def test_counts_are_taken_before_the_configuration_is_known() -> None:
     async def work() -> None:
-        state, telling = make_telling()
+        state, protocol = make_protocol()
         state.catalog = None
         told = InFlightUpdate(
             "front-7", CountScope.SENDER_GROUP, 1, True, {compute_target_hash("engine"): 9}, 1
         )
-        telling.datagram_received(msgspec.msgpack.encode(told), ("10.0.0.9", 7))
+        protocol.datagram_received(msgspec.msgpack.encode(told), ("10.0.0.9", 7))
         assert state.loads.estimate("engine", True, 0.0) == 9.0
 
     run(work)
