--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the store's tables, against a store that is told what to do and without sockets."""
+"""Tests of following the store's tables, with a scripted store in memory and without sockets."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 TABLES = ("config", "targets")
 
 
-class Decoder(StateDecoder):
-    """Finds nothing in any row."""
+class EmptyDecoder(StateDecoder):
+    """Decodes no row into a change."""
 
     tables = TABLES
 
@@ -34,7 +34,12 @@
 
 
 class ScriptedStore(RowStore):
-    """Rows in memory. Calls of a table in `dead` are on a connection that has gone silent."""
+    """A store in memory.
+
+    The next watch on a table in `silent_watches` gets no answer until the client's time-out, as on
+    a connection that has gone silent. Reads of a table in `stuck_reads` time out. While `failing`
+    is set, every call is refused. Keys in `renewed` have been written again when they are removed.
+    """
 
     def __init__(self) -> None:
         self.pages = {name: TablePage([], 1, True) for name in (*TABLES, "instances")}
@@ -63,7 +68,7 @@
         if self.failing:
             raise StoreError("away")
         if table in self.silent_watches:
-            # Nothing comes until the client gives up; the next call is on a new connection.
+            # No answer until the client times out; its next call is on a new connection.
             self.silent_watches.discard(table)
             await asyncio.sleep(wait + 0.6)
             raise StoreError("timeout")
@@ -98,11 +103,11 @@
     state = State(settings, TABLES, Journal("front-0", descriptor=2))
     selector = ReaderSelector("front-0", "zone-a")
     peers = PeerClient(state, ConnectionPool(1.0), selector)
-    return state, StateFollower(state, store, Decoder(), peers, selector)
+    return state, StateFollower(state, store, EmptyDecoder(), peers, selector)
 
 
-def follow(work: Callable[[State, ScriptedStore], Awaitable[None]]) -> None:
-    async def started() -> None:
+def run_with_follower(work: Callable[[State, ScriptedStore], Awaitable[None]]) -> None:
+    async def start_and_run() -> None:
         store = ScriptedStore()
         state, follower = make_follower(store)
         follower.start()
@@ -112,13 +117,14 @@
         finally:
             follower.stop()
 
-    run(started)
+    run(start_and_run)
 
 
-def test_one_feed_that_goes_silent_alone_is_noticed() -> None:
-    # The connection on which changes of targets are waited for goes silent for good, while that of
-    # the configuration goes on. A target begins to leave; whoever does not hear of it sends it
-    # work until the feed's wait ends, which was 25 s, and the target is gone in the meantime.
+def test_single_silent_watch_is_detected() -> None:
+    # The connection on which changes of targets are watched goes silent for good, while that of the
+    # configuration still works. A target starts to drain. An instance that does not learn of it
+    # sends requests to the target until the watch times out, which took 25 s, and by then the
+    # target is gone.
     async def work(state: State, store: ScriptedStore) -> None:
         store.silent_watches.add("targets")
         await asyncio.sleep(state.timings.table_wait)
@@ -130,14 +136,14 @@
 
         await wait_until("the change is known", is_known, 3.0)
 
-    follow(work)
+    run_with_follower(work)
 
 
-def test_who_joins_after_others_have_told_of_themselves_is_read_too() -> None:
-    # Of six that start together the first reads an empty list, and two that follow tell it of
-    # themselves. The last ones see a large zone and tell only its reader. The first must read the
-    # list again soon all the same, or it takes too large a part of every bound for 20 s and waits
-    # at nobody.
+def test_list_is_read_again_soon_after_others_have_joined() -> None:
+    # Six instances start together. The first reads an empty list, and the two that follow announce
+    # themselves to it. The last ones see a large zone and announce themselves only to its reader.
+    # The first must still read the list again soon, or for 20 s it takes too large a share of every
+    # limit and waits at no reader.
     async def work(state: State, store: ScriptedStore) -> None:
         for number in range(2):
             row = InstanceRow("zone-a", "127.0.0.1", 1)
@@ -153,12 +159,12 @@
 
         await wait_until("all that joined are known", is_known, 4.0)
 
-    follow(work)
+    run_with_follower(work)
 
 
-def test_one_call_at_a_time_tries_a_store_that_is_away() -> None:
-    # The store turns every call away at once, and each call has its price. One feed finds out when
-    # it is back; the others wait for that.
+def test_only_one_call_at_a_time_retries_an_unavailable_store() -> None:
+    # The store refuses every call at once, and each call costs it something. So one watch checks
+    # whether the store has recovered, and the others wait for that.
     async def work(state: State, store: ScriptedStore) -> None:
         store.failing = True
         await asyncio.sleep(2.5)
@@ -173,19 +179,19 @@
 
         await wait_until("what changed meanwhile is known", is_known, 1.0)
 
-    follow(work)
+    run_with_follower(work)
 
 
-def test_an_instance_that_waits_for_its_first_configuration_asks_the_others(
+def test_instance_without_a_configuration_queries_its_peers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # A whole fleet starts anew and reads its large configuration at once. A few have it in 0.1 s;
-    # the calls of the others get stuck, and for 0.9 s, or until the call timed out, they refused
-    # all callers, although a neighbour could have told them.
-    asked: list[float] = []
+    # A whole fleet restarts and reads its large configuration at once. A few instances have it in
+    # 0.1 s; the calls of the others got stuck, and for 0.9 s, or until the calls timed out, they
+    # refused all callers, although another instance could have sent them the configuration.
+    query_times: list[float] = []
 
     async def answer(self: PeerClient, peer: object) -> ChangesReply:
-        asked.append(asyncio.get_running_loop().time())
+        query_times.append(asyncio.get_running_loop().time())
         pages = {"config": TablePage([], 1, True)}
         return ChangesReply(pages, 0.0, 0.0, None, PeerUpdatePage([], 0), [], 0.0)
 
@@ -196,13 +202,13 @@
         store.stuck_reads.add("config")
         state, follower = make_follower(store)
         state.add_instance("front-1", InstanceRow("zone-a", "127.0.0.1", 2))
-        started = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         follower.start()
         await asyncio.sleep(0.45)
         assert state.mirror.tables["config"].known
-        assert asked[0] - started < 0.25
-        # Once it knows, it asks no more.
-        assert len(asked) == 1
+        assert query_times[0] - started_at < 0.25
+        # Once it has the configuration, it sends no more queries.
+        assert len(query_times) == 1
         follower.stop()
 
     run(work)
@@ -213,12 +219,12 @@
     return TablePage([MirroredRow(name, row, version) for name in names], version, True)
 
 
-def test_row_of_a_lost_instance_is_dropped_and_one_renewed_meanwhile_stays(
+def test_expired_row_is_removed_unless_renewed_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Two instances were lost without a word; their rows made everybody's part of the bounds smaller
-    # for good. One of them is back and writes its row just as it is judged; the store refuses to
-    # drop that, and the store is not taken for lost because of it.
+    # Two instances crashed; their rows made every instance's share of the limits smaller for good.
+    # One of them is back and renews its row just as it is found expired. The store refuses to
+    # remove that row, and this refusal must not count as a failure of the store.
     monkeypatch.setattr("rhubarbbend.core.readers._leases.ROW_LIFETIME_S", 0.0)
 
     async def work(state: State, store: ScriptedStore) -> None:
@@ -229,18 +235,18 @@
         assert store.removed[:2] == [("front-8", 7), ("front-9", 7)]
         assert store.closures == 0
 
-    follow(work)
+    run_with_follower(work)
 
 
 async def has_removed(store: ScriptedStore, count: int) -> bool:
     return len(store.removed) >= count
 
 
-def test_an_instance_that_finds_itself_off_the_list_writes_its_row_again(
+def test_instance_writes_its_missing_row_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # It was cut off from the store for so long that the others dropped its row. Left off the list,
-    # it would share the bounds uncounted.
+    # The instance was cut off from the store for so long that the others removed its row. If it
+    # stayed off the list, it would use a share of the limits without being counted.
     monkeypatch.setattr(_instance_list, "ROW_CHECK_INTERVAL_S", 0.05)
 
     async def work() -> None:
@@ -261,32 +267,32 @@
     run(work)
 
 
-def list_zone_with_reader() -> TablePage:
-    """Give a list of six instances; front-1 is their reader, being the strongest."""
+def make_zone_page_with_reader() -> TablePage:
+    """Return a list of six instances; front-1 is their reader because it has the most capacity."""
     row = '{"zone":"zone-a","host":"127.0.0.1","port":1,"link":%d,"cores":%d}'
     rows = [(f"front-{number}", (200, 2) if number == 1 else (10, 1)) for number in range(6)]
     return TablePage([MirroredRow(name, (row % size).encode(), 3) for name, size in rows], 3, True)
 
 
-@pytest.mark.parametrize("reader_lives", [True, False])
-def test_an_instance_that_starts_follows_no_table_that_its_reader_follows(
-    monkeypatch: pytest.MonkeyPatch, reader_lives: bool
+@pytest.mark.parametrize("is_reader_alive", [True, False])
+def test_starting_instance_watches_no_table_that_its_reader_watches(
+    monkeypatch: pytest.MonkeyPatch, is_reader_alive: bool
 ) -> None:
-    # A fleet of hundreds starts anew. Each instance called the store for the changes of every
-    # table, and gave the calls up a moment later, when its reader answered. One whose reader is
-    # gone follows them itself soon.
+    # A fleet of hundreds restarts. Each instance started a watch on every table, and cancelled it a
+    # moment later when its reader replied. An instance whose reader is gone must soon watch the
+    # tables itself.
     async def answer(
         self: PeerClient, peer: object, hold: float, at: object
     ) -> ChangesReply | None:
         await asyncio.sleep(0.05)
         reply = ChangesReply({}, 0.0, 0.0, None, PeerUpdatePage([], 0), [], 0.0)
-        return reply if reader_lives else None
+        return reply if is_reader_alive else None
 
     monkeypatch.setattr(PeerClient, "poll_reader", answer)
 
     async def work() -> None:
         store = ScriptedStore()
-        store.pages["instances"] = list_zone_with_reader()
+        store.pages["instances"] = make_zone_page_with_reader()
         state, follower = make_follower(store)
         follower.start()
         row = InstanceRow("zone-a", "127.0.0.1", 1)
@@ -295,6 +301,6 @@
         joining.cancel()
         follower.stop()
         assert all(state.mirror.tables[table].known for table in TABLES)
-        assert sorted(store.watched) == ([] if reader_lives else list(TABLES))
+        assert sorted(store.watched) == ([] if is_reader_alive else list(TABLES))
 
     run(work)
--- a/tests/gateway/test_load_telling.py
+++ b/tests/gateway/test_load_telling.py
@@ -1,4 +1,4 @@
-"""Counts of requests that come as datagrams, handed over without a network."""
+"""Tests of the datagrams with in-flight counts, delivered without a network."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State
 from tests.gateway.harness import run
 
-FLEET = 195
-CONNECTIONS = 1_300
+FLEET_SIZE = 195
+MAX_CONNECTIONS = 1_300
 
 
 def make_protocol() -> tuple[State, InFlightProtocol]:
-    """Make an instance that knows a large fleet."""
+    """Return the state and protocol of an instance that knows a large fleet."""
     address = ("127.0.0.1", 1)
     settings = GatewaySettings("front-0", "zone-0", address, address, address)
     state = State(settings, ("config", "targets"), Journal("front-0", descriptor=2))
     state.mirror.merge({INSTANCE_TABLE: TablePage([], 1, True)})
-    for number in range(FLEET):
+    for number in range(FLEET_SIZE):
         state.add_instance(f"front-{number}", InstanceRow(f"zone-{number}", "10.0.0.9", number))
-    engines = Service("llm", CONNECTIONS, 0.0, 0.0, Engine(24, 1_000, 1))
+    engines = Service("llm", MAX_CONNECTIONS, 0.0, 0.0, Engine(24, 1_000, 1))
     state.catalog = Catalog(1, [], [engines], None, TrafficLimits(1, 1, 1.0, 1.0))
     return state, InFlightProtocol(state, ReaderSelector("front-0", "zone-0"))
 
 
 @pytest.mark.parametrize(
-    ("sender", "host", "count", "is_taken"),
+    ("sender", "host", "count", "is_accepted"),
     [
         (7, "10.0.0.9", 3, True),
         (7, "10.0.0.8", 3, False),
         (8, "10.0.0.9", 3, False),
         (7, "10.0.0.9", 500, False),
-        # It has not read the list yet and takes its part for that of one of twelve.
+        # The sender has not read the list yet and assumes that twelve instances share the limit.
         (7, "10.0.0.9", 80, True),
     ],
 )
-def test_counts_are_taken_from_whom_they_can_be(
-    sender: int, host: str, count: int, is_taken: bool
+def test_only_plausible_counts_from_their_sender_are_accepted(
+    sender: int, host: str, count: int, is_accepted: bool
 ) -> None:
-    # Right after a start of all, a few serve every caller before they know how many they are. With
-    # their counts rejected, engines filled up unseen; with any count believed, one message could
-    # make every engine look full.
+    # Right after the whole fleet has started, a few instances serve every caller before they know
+    # how many there are. When their counts were rejected, engines filled up unnoticed. If any count
+    # were accepted, one message could make every engine look full.
     async def work() -> None:
         state, protocol = make_protocol()
-        told = InFlightUpdate(
+        update = InFlightUpdate(
             f"front-{sender}",
             CountScope.SENDER_GROUP,
             1,
@@ -60,21 +60,21 @@
             {compute_target_hash("engine"): count},
             1,
         )
-        protocol.datagram_received(msgspec.msgpack.encode(told), (host, 7))
-        assert state.loads.estimate("engine", True, 0.0) == (count if is_taken else 0)
-        assert state.metrics.read(codes.PEER_COUNTS_REJECTED) == (0 if is_taken else 1)
+        protocol.datagram_received(msgspec.msgpack.encode(update), (host, 7))
+        assert state.loads.estimate("engine", True, 0.0) == (count if is_accepted else 0)
+        assert state.metrics.read(codes.PEER_COUNTS_REJECTED) == (0 if is_accepted else 1)
 
     run(work)
 
 
-def test_counts_are_taken_before_the_configuration_is_known() -> None:
+def test_counts_are_accepted_before_the_configuration_is_known() -> None:
     async def work() -> None:
         state, protocol = make_protocol()
         state.catalog = None
-        told = InFlightUpdate(
+        update = InFlightUpdate(
             "front-7", CountScope.SENDER_GROUP, 1, True, {compute_target_hash("engine"): 9}, 1
         )
-        protocol.datagram_received(msgspec.msgpack.encode(told), ("10.0.0.9", 7))
+        protocol.datagram_received(msgspec.msgpack.encode(update), ("10.0.0.9", 7))
         assert state.loads.estimate("engine", True, 0.0) == 9.0
 
     run(work)
--- a/tests/gateway/test_readers.py
+++ b/tests/gateway/test_readers.py
@@ -1,4 +1,4 @@
-"""A zone in which a few instances read the store for the others."""
+"""Tests of zones in which a few instances read the store for the others."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from rhubarbbend.core.readers import InstanceRow, list_zone_readers
 from tests.gateway.harness import Fleet, make_config, run, start_fleet, wait_until
 
-MEMBERS = 6
-# Within so many seconds a change has to be in force at every instance that runs and is reached.
-BOUND = 2.0
+ZONE_INSTANCES = 6
+# Within this time a change must be in force at every instance that runs and can be reached.
+MAX_APPLY_TIME_S = 2.0
 
 
 def find_readers(fleet: Fleet) -> list[str]:
@@ -27,72 +27,74 @@
     return find_readers(fleet)[0]
 
 
-def revoke(version: int) -> dict[str, object]:
+def make_config_without_second_key(version: int) -> dict[str, object]:
     config = make_config(version)
     config["tenants"][0]["apiKeys"] = ["key-of-the-pilgrims"]
     return config
 
 
-async def wait_listening(fleet: Fleet) -> None:
-    """Wait until all but the readers wait at one."""
+async def wait_for_listeners(fleet: Fleet) -> None:
+    """Wait until every instance except the readers waits at a reader."""
 
     def last_mode(name: str) -> str:
         modes = [line["event"] for line in fleet.read_log(name)]
         modes = [mode for mode in modes if mode in ("waits_at_reader", "reads_store")]
         return modes[-1] if modes else ""
 
-    async def is_settled() -> bool:
+    async def is_listening() -> bool:
         others = fleet.instances.keys() - set(find_readers(fleet))
         return all(last_mode(name) == "waits_at_reader" for name in others)
 
-    await wait_until("all wait at readers", is_settled)
+    await wait_until("all wait at readers", is_listening)
     await asyncio.sleep(1.0)
 
 
-async def check_refused(fleet: Fleet, names: list[str], within: float) -> None:
-    """Check that instances refuse the key that was taken away, within some seconds."""
+async def check_key_refused(fleet: Fleet, names: list[str], timeout: float) -> None:
+    """Check that the instances refuse the revoked key within the given number of seconds."""
 
     async def is_refused(name: str) -> bool:
         return (await fleet.ask("/read/x", instance=name, X_Api_Key="second-key")).status == 401
 
     async def wait(name: str) -> None:
-        await wait_until(f"{name} refuses the key", lambda: is_refused(name), within)
+        await wait_until(f"{name} refuses the key", lambda: is_refused(name), timeout)
 
     await asyncio.gather(*(wait(name) for name in names))
 
 
-def test_a_change_wakes_the_reader_and_not_the_whole_zone(tmp_path: Path) -> None:
-    # Six instances of one zone, a key is taken away. Each has it within the bound, and the store
-    # is called by one of them: before, each change woke six calls, of which each has its price.
+def test_only_the_reader_calls_the_store_for_a_change(tmp_path: Path) -> None:
+    # A key is revoked in a zone of six instances. Each must refuse it in time, while only one
+    # instance calls the store: without readers, a change completed six calls, each of which costs
+    # the store something.
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=MEMBERS, engines=1, zones=1) as fleet:
-            await wait_listening(fleet)
+        async with start_fleet(tmp_path, instances=ZONE_INSTANCES, engines=1, zones=1) as fleet:
+            await wait_for_listeners(fleet)
             before = await fleet.count_store_calls()
-            await fleet.write_row("op", "config", revoke(5))
-            await check_refused(fleet, list(fleet.instances), BOUND)
+            await fleet.write_row("op", "config", make_config_without_second_key(5))
+            await check_key_refused(fleet, list(fleet.instances), MAX_APPLY_TIME_S)
             await fleet.register("plain-0", state="draining")
             await asyncio.sleep(3.0)
             calls = await fleet.count_store_calls() - before
-            # A reader alone calls it 1.9 times a second; six for themselves would 6 times.
+            # A reader alone makes 1.9 calls a second; six instances on their own would make 6.
             assert calls <= 12
 
     run(work)
 
 
-def test_who_waits_at_the_reader_stays_with_it_from_the_start(tmp_path: Path) -> None:
-    # All instances of a large zone start at once, their reader a moment before the others. It has
-    # begun a wait of 2 s at the store when it learns that it is one; meanwhile it cannot prove that
-    # nothing newer is there, and after 1.3 s all others turned to the store themselves again.
+def test_listeners_stay_with_their_reader_after_a_start(tmp_path: Path) -> None:
+    # All instances of a large zone start at once, their reader a moment before the others. The
+    # reader had already started a watch of 2 s when it learned that it was one. Until the watch
+    # ended it could not prove that its data was current, and after 1.3 s all others read the store
+    # themselves again.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=0, engines=1, zones=1) as fleet:
-            for number in range(MEMBERS):
+            for number in range(ZONE_INSTANCES):
                 await fleet.add_instance(f"front-{number}", "zone-a")
             reader = find_reader(fleet)
             others = [name for name in fleet.instances if name != reader]
             await fleet.start_instance(reader)
             await fleet.wait_ready(reader)
             await asyncio.gather(*(fleet.start_instance(name) for name in others))
-            await wait_listening(fleet)
+            await wait_for_listeners(fleet)
             await asyncio.sleep(2.0)
             logs = [[line["event"] for line in fleet.read_log(name)] for name in others]
             assert [log.count("reads_store") for log in logs] == [0] * len(others)
@@ -102,13 +104,13 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut"])
-def test_a_zone_goes_on_without_its_reader(tmp_path: Path, fault: str) -> None:
-    # The reader dies, stands still, or keeps its listeners but hears nothing from the store any
-    # more. In the same moment a key is taken away. The others see that what they are told is too
-    # old, and read the store themselves.
+def test_zone_learns_of_changes_without_its_reader(tmp_path: Path, fault: str) -> None:
+    # The reader is killed, hangs, or still serves its listeners but no longer gets answers from the
+    # store. At the same moment a key is revoked. The others must notice that the data from the
+    # reader is too old, and read the store themselves.
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=MEMBERS, engines=1, zones=1) as fleet:
-            await wait_listening(fleet)
+        async with start_fleet(tmp_path, instances=ZONE_INSTANCES, engines=1, zones=1) as fleet:
+            await wait_for_listeners(fleet)
             reader = find_reader(fleet)
             node = fleet.instances[reader]
             assert node.process is not None
@@ -118,22 +120,24 @@
                 node.process.freeze()
             else:
                 await fleet.set_route(node.store_port, freeze=True, blackhole=True)
-            await fleet.write_row("op", "config", revoke(5))
+            await fleet.write_row("op", "config", make_config_without_second_key(5))
             others = [name for name in fleet.instances if name != reader]
-            await check_refused(fleet, others, BOUND)
+            await check_key_refused(fleet, others, MAX_APPLY_TIME_S)
             if fault == "freeze":
                 node.process.thaw()
 
     run(work)
 
 
-def test_a_zone_is_told_of_crashes_by_its_reader(tmp_path: Path) -> None:
-    # A request crashes two workers, at two instances that wait at the reader, and comes again at a
-    # third one. That has it from the reader that the request was at both, and refuses it.
+def test_reader_relays_crashes_to_its_zone(tmp_path: Path) -> None:
+    # A request crashes two workers, through two instances that wait at the reader, and is then sent
+    # to a third one. That instance knows of both crashes from the reader, and must refuse it.
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=MEMBERS, plains=4, engines=1, zones=1) as fleet:
+        async with start_fleet(
+            tmp_path, instances=ZONE_INSTANCES, plains=4, engines=1, zones=1
+        ) as fleet:
             await fleet.set_workers("plain", crash_on="poison")
-            await wait_listening(fleet)
+            await wait_for_listeners(fleet)
             names = [name for name in fleet.instances if name != find_reader(fleet)]
             for name in names[:2]:
                 await fleet.ask("/book/x", b"poison", instance=name)
@@ -144,12 +148,13 @@
     run(work)
 
 
-def test_who_joins_counts_for_those_that_wait_at_the_reader(tmp_path: Path) -> None:
-    # Each takes its part of bounds over all by the number of instances. One that joins tells the
-    # reader; the others have it from there long before they would read the list again.
+def test_listeners_of_a_reader_learn_of_a_joining_instance(tmp_path: Path) -> None:
+    # Each instance computes its share of the fleet's limits from the number of instances. One that
+    # joins notifies the reader, and the others must learn of it from there, long before they would
+    # read the list again.
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=MEMBERS, engines=1, zones=1) as fleet:
-            await wait_listening(fleet)
+        async with start_fleet(tmp_path, instances=ZONE_INSTANCES, engines=1, zones=1) as fleet:
+            await wait_for_listeners(fleet)
             listener = next(name for name in fleet.instances if name != find_reader(fleet))
             await fleet.add_instance("front-new", "zone-a")
             await fleet.start_instance("front-new")
@@ -158,29 +163,30 @@
 
             async def is_counted() -> bool:
                 metrics = await fleet.call(address, "GET", "/metrics")
-                return f"rhubarbbend_instances {MEMBERS + 1}\n".encode() in metrics.body
+                return f"rhubarbbend_instances {ZONE_INSTANCES + 1}\n".encode() in metrics.body
 
-            await wait_until("the new instance counts", is_counted, BOUND)
+            await wait_until("the new instance counts", is_counted, MAX_APPLY_TIME_S)
 
     run(work)
 
 
 @pytest.mark.parametrize("kill", [False, True])
-def test_zones_of_few_instances_share_their_readers(tmp_path: Path, kill: bool) -> None:
-    # Twelve instances in three zones, a key is taken away. Each read the store by itself, and the
-    # change woke twelve calls. With both readers killed the others have it within the bound.
+def test_small_zones_share_readers(tmp_path: Path, kill: bool) -> None:
+    # A key is revoked in a fleet of twelve instances in three zones. When each instance read the
+    # store itself, the change completed twelve calls. With both readers killed, the others must
+    # still refuse the key in time.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=12, engines=1) as fleet:
-            await wait_listening(fleet)
+            await wait_for_listeners(fleet)
             readers = find_readers(fleet)
             assert len(readers) == 2
             before = await fleet.count_store_calls()
             for process in [fleet.instances[name].process for name in readers if kill]:
                 assert process is not None
                 await process.kill()
-            await fleet.write_row("op", "config", revoke(5))
+            await fleet.write_row("op", "config", make_config_without_second_key(5))
             others = [name for name in fleet.instances if name not in readers]
-            await check_refused(fleet, others, BOUND)
+            await check_key_refused(fleet, others, MAX_APPLY_TIME_S)
             if not kill:
                 await asyncio.sleep(3.0)
                 assert await fleet.count_store_calls() - before <= 24
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -1,4 +1,4 @@
-"""A start: callers that come while an instance is being loaded, or reads what is in force."""
+"""Tests of callers that connect while an instance loads or reads its first configuration."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from tests.gateway.harness import Fleet, run, start_fleet
 
-# An instance lets callers wait for its first configuration until so long after its start.
-START_WAIT = 0.8
+# How long after its start an instance lets callers wait for its first configuration.
+START_WAIT_S = 0.8
 
 
-async def ask_at_first_connection(fleet: Fleet) -> int:
-    """Ask over the first connection that an instance takes; gives the status."""
+async def ask_on_first_connection(fleet: Fleet) -> int:
+    """Send a request on the first connection that an instance accepts, and return the status."""
     while True:
         reply = await fleet.ask("/read/x", Deadline_Ms="3000")
         if reply.status:
@@ -21,44 +21,44 @@
         await asyncio.sleep(0.002)
 
 
-async def restart(fleet: Fleet) -> None:
+async def restart_instance(fleet: Fleet) -> None:
     process = fleet.instances["front-0"].process
     assert process is not None
     await process.kill()
     await fleet.start_instance("front-0")
 
 
-def test_a_caller_that_comes_while_the_program_loads_is_served(tmp_path: Path) -> None:
-    """Every instance has lost power, and callers come as soon as one takes a connection.
+def test_caller_that_connects_while_the_program_loads_is_served(tmp_path: Path) -> None:
+    """All instances restart after a power failure, and callers connect as soon as one accepts.
 
-    The program is still loading then, and after that it reads the configuration, which a slow
-    store gives late. Refused, the caller would be refused by every other instance as well.
+    The program is still loading then, and afterwards it reads the configuration from a slow store.
+    A caller that was refused here would be refused by every other instance as well.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.set_store(delay=0.2)
-            await restart(fleet)
-            assert await ask_at_first_connection(fleet) == 200
+            await restart_instance(fleet)
+            assert await ask_on_first_connection(fleet) == 200
 
     run(work)
 
 
-def test_a_caller_does_not_wait_for_a_configuration_that_does_not_come(tmp_path: Path) -> None:
-    """The store is away and no other instance lives, so nobody can say what is in force.
+def test_caller_does_not_wait_for_an_unavailable_configuration(tmp_path: Path) -> None:
+    """The store is unreachable and no other instance runs, so the configuration is unknown.
 
-    Callers of the first moments wait a part of their time and are refused; those that come later
-    are refused at once.
+    Callers of the first moments wait for a part of their time and are refused; later ones are
+    refused at once.
     """
 
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.set_store(silent=True)
-            await restart(fleet)
-            assert await ask_at_first_connection(fleet) == 503
-            await asyncio.sleep(START_WAIT)
-            asked = time.monotonic()
-            assert await ask_at_first_connection(fleet) == 503
-            assert time.monotonic() - asked < 0.1
+            await restart_instance(fleet)
+            assert await ask_on_first_connection(fleet) == 503
+            await asyncio.sleep(START_WAIT_S)
+            asked_at = time.monotonic()
+            assert await ask_on_first_connection(fleet) == 503
+            assert time.monotonic() - asked_at < 0.1
 
     run(work)
--- a/tests/gateway/test_store.py
+++ b/tests/gateway/test_store.py
@@ -1,4 +1,7 @@
-"""The store away, for all or for some: what is in force stays so, and what changes is learned."""
+"""Tests with a store that is unavailable or holds invalid rows, and of changes in the store.
+
+What is in force stays in force, and instances learn of changes by other ways.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
     await wait_until(f"{instance} refuses {key}", is_refused, timeout)
 
 
-def revoke(version: int) -> dict[str, object]:
+def make_config_without_second_key(version: int) -> dict[str, object]:
     config = make_config(version)
     config["tenants"][0]["apiKeys"] = ["key-of-the-pilgrims"]
     return config
@@ -29,7 +32,7 @@
 @pytest.mark.parametrize(
     "faults", [{"status": 503}, {"status": 429}, {"silent": True}, {"delay": 0.3}]
 )
-def test_callers_are_served_while_the_store_is_away(
+def test_callers_are_served_while_the_store_is_unavailable(
     tmp_path: Path, faults: dict[str, object]
 ) -> None:
     async def work() -> None:
@@ -39,25 +42,23 @@
                 assert (await fleet.ask("/read/x")).status == 200
                 await asyncio.sleep(0.1)
             await fleet.set_store(status=0, silent=False, delay=0.0)
-            await fleet.write_row("op", "config", revoke(9))
+            await fleet.write_row("op", "config", make_config_without_second_key(9))
             await wait_refused(fleet, "front-0", "second-key", 3.5)
 
     run(work)
 
 
 @pytest.mark.parametrize("fault", ["refuse", "blackhole", "freeze"])
-def test_an_instance_that_the_store_turns_away_learns_from_the_others(
-    tmp_path: Path, fault: str
-) -> None:
-    # One instance loses its path to the store, or only the connections that it has. A key is
-    # taken away meanwhile. The others know; the one asks them.
+def test_instance_cut_off_from_the_store_learns_from_its_peers(tmp_path: Path, fault: str) -> None:
+    # One instance loses its path to the store, or only its open connections, and a key is revoked
+    # meanwhile. The other instance knows that, and the first one queries it.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=2, engines=1) as fleet:
             await asyncio.sleep(0.5)
             port = fleet.instances["front-1"].store_port
             await fleet.set_route(port, **{fault: True, "cut": fault == "refuse"})
             await asyncio.sleep(0.2)
-            await fleet.write_row("op", "config", revoke(4))
+            await fleet.write_row("op", "config", make_config_without_second_key(4))
             await fleet.register("plain-0", state="draining")
             await wait_refused(fleet, "front-0", "second-key", 2.0)
             await wait_refused(fleet, "front-1", "second-key", 5.0)
@@ -69,11 +70,11 @@
     run(work)
 
 
-def test_an_instance_that_starts_while_the_store_is_away_learns_from_the_others(
+def test_instance_started_without_the_store_learns_from_its_peers(
     tmp_path: Path,
 ) -> None:
-    # The instance is killed and started again while the store refuses everyone. The settings name
-    # seeds; one of them has the configuration and the workers.
+    # The instance is killed and restarted while the store refuses all calls. Its settings name
+    # seeds, one of which has the configuration and the workers.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=2, engines=1) as fleet:
             await fleet.set_store(status=503)
@@ -87,12 +88,12 @@
     run(work)
 
 
-def test_a_feed_whose_history_is_gone_is_read_anew(tmp_path: Path) -> None:
+def test_tables_are_read_again_when_their_history_is_gone(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.set_store(status=503)
             await asyncio.sleep(0.3)
-            await fleet.write_row("op", "config", revoke(4))
+            await fleet.write_row("op", "config", make_config_without_second_key(4))
             await fleet.write_row("servers", "plain-0", None)
             await fleet.set_store(status=0, forget=True)
             await wait_refused(fleet, "front-0", "second-key", 3.0)
@@ -103,7 +104,7 @@
                     await fleet.ask("/read/x")
                 return len((await fleet.read_stats("plain-0")).seen) == before
 
-            # An entry may have lapsed with the store, so it is used for two seconds more.
+            # The registration may have lapsed with the store, so it is used for two more seconds.
             await wait_until("plain-0 gets nothing", is_gone, 6.0)
 
     run(work)
@@ -119,7 +120,7 @@
         ["a", "list"],
     ],
 )
-def test_entries_of_other_writers_name_no_worker(tmp_path: Path, entry: object) -> None:
+def test_malformed_rows_are_ignored(tmp_path: Path, entry: object) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             await fleet.write_row("servers", "forged", entry)
@@ -134,10 +135,10 @@
     run(work)
 
 
-def test_an_older_configuration_never_comes_back_into_force(tmp_path: Path) -> None:
+def test_older_configuration_is_never_applied(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
-            await fleet.write_row("op", "config", revoke(7))
+            await fleet.write_row("op", "config", make_config_without_second_key(7))
             await wait_refused(fleet, "front-0", "second-key", 2.0)
             await fleet.write_row("op", "config", make_config(6))
             await asyncio.sleep(0.5)
@@ -146,7 +147,7 @@
     run(work)
 
 
-def test_a_zone_that_is_taken_out_gets_nothing_until_it_is_back(tmp_path: Path) -> None:
+def test_zone_out_of_service_gets_no_requests_until_it_returns(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=2, plains=3, engines=1) as fleet:
             await fleet.write_row("op", "evacuate/zone-b", {})
@@ -166,7 +167,7 @@
     run(work)
 
 
-def test_a_worker_that_drains_gets_nothing_more(tmp_path: Path) -> None:
+def test_draining_worker_gets_no_new_requests(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             await fleet.register("plain-0", state="draining")
@@ -179,9 +180,9 @@
     run(work)
 
 
-def test_cold_engines_get_no_more_than_they_bear_from_all_instances(tmp_path: Path) -> None:
-    # Every engine is cold and bears 4 x 1.5 + 2 = 8 requests a second. Both instances are asked
-    # for much more at once.
+def test_all_instances_together_stay_within_the_rate_of_a_cold_engine(tmp_path: Path) -> None:
+    # The engine is cold and may get 4 x 1.5 + 2 = 8 requests a second. Both instances get many more
+    # requests at once.
     async def work() -> None:
         async with start_fleet(tmp_path, instances=2, engines=1) as fleet:
             await fleet.register("engine-0", coldLeftMs=20_000, born=2)
@@ -198,7 +199,7 @@
     run(work)
 
 
-def test_settings_are_read_again_and_a_wrong_file_changes_nothing(tmp_path: Path) -> None:
+def test_settings_are_reloaded_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         async with start_fleet(tmp_path, instances=1, engines=1) as fleet:
             node = fleet.instances["front-0"]
