--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -45,8 +45,8 @@
 SEED_QUERY_DELAY_S: Final = 0.5
 STARTUP_PERIOD_S: Final = 3.0
 # How long a reader holds a query while nothing changes. Together with the time-out for its reply, a
-# reader that hangs is detected within 0.8 s. A target's load report takes half of this time
-# to reach the reader, and half to reach the other instances.
+# reader that hangs is detected within 0.8 s. A target's load report takes half of this time to
+# reach the reader, and half to reach the other instances.
 LONG_POLL_S: Final = 0.4
 # How often an instance that reads the store itself checks whether it should wait at a reader.
 READER_CHECK_INTERVAL_S: Final = 0.5
@@ -134,7 +134,7 @@
         for table in self._tables:
             self._spawn(self._follow_table(table))
         self._spawn(self.instance_list.follow(self._reads_directly))
-        self._spawn(self._listen())
+        self._spawn(self._follow_reader())
         self._spawn(self._relay_load_reports())
         self._spawn(self._query_peers())
         self._spawn(self._expire_targets())
@@ -253,7 +253,7 @@
 
     # Waiting at the zone's reader.
 
-    async def _listen(self) -> None:
+    async def _follow_reader(self) -> None:
         """Wait for changes at the zone's reader, if there is one other than this instance."""
         cursor = ReaderCursor()
         while True:
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -87,8 +87,8 @@
             self.state, adapter.store, adapter.decoder, self._peers, selector
         )
         self._in_flight_protocol = InFlightProtocol(self.state, selector)
-        self._callers = HttpServer(self._requests.serve)
-        self._servers: list[HttpServer] = [self._callers]
+        self._caller_server = HttpServer(self._requests.serve)
+        self._servers: list[HttpServer] = [self._caller_server]
         self._background: set[asyncio.Task[None]] = set()
         self._stop_requested = asyncio.Event()
         self._limits_version = -1
@@ -120,9 +120,9 @@
     async def _listen(self) -> None:
         settings = self.settings
         if self._listener is None:
-            await self._callers.listen(*settings.callers)
+            await self._caller_server.listen(*settings.callers)
         else:
-            await self._callers.listen_on(self._listener)
+            await self._caller_server.listen_on(self._listener)
         await self._serve_on(settings.ready, self._serve_ready)
         if settings.peers is not None:
             await self._serve_on(settings.peers, PeerServer(self.state).serve)
@@ -256,7 +256,7 @@
             return
         self._limits_version = catalog.version
         limits = catalog.limits
-        self._callers.set_limits(
+        self._caller_server.set_limits(
             ServerLimits(
                 max_header_bytes=limits.max_header_bytes,
                 max_body_bytes=limits.max_body_bytes,
@@ -285,11 +285,11 @@
         killed_at = stop_began_at + self.settings.stop_grace - STOP_MARGIN_S
         self.state.stopping = True
         self._log("stopping", open=self._requests.open)
-        self._callers.start_draining()
+        self._caller_server.start_draining()
         if self.settings.peers is not None:
             self._spawn(self._follower.instance_list.leave())
         await asyncio.sleep(min(READINESS_PROPAGATION_S, self.settings.stop_grace / 3))
-        self._callers.stop_accepting()
+        self._caller_server.stop_accepting()
         while self._requests.open and read_clock() < killed_at:
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
         unfinished = self._requests.open
@@ -297,7 +297,7 @@
             # Responses that were written may still be in transit.
             try:
                 async with asyncio.timeout_at(killed_at):
-                    await self._callers.finish()
+                    await self._caller_server.finish()
             except TimeoutError:
                 self._log("callers_slow")
         self._follower.stop()
--- a/rhubarbbend/gateway/_state.py
+++ b/rhubarbbend/gateway/_state.py
@@ -68,7 +68,7 @@
     received_at: float | None = None
 
     def add_age(self, now: float) -> Note:
-        """Return the update as it has to be relayed now, with the time since then in its ages."""
+        """Return the update to relay now; the time since its receipt is added to its ages."""
         waited = 0.0 if self.received_at is None else now - self.received_at
         locations = [location.add_age(waited) for location in self.locations]
         return Note(locations, self.crashes)
