--- a/loadtool/_analysis.py
+++ b/loadtool/_analysis.py
@@ -8,13 +8,13 @@
 from collections.abc import Sequence
 from typing import Final
 
-from loadtool._bound import ReuseCounts
 from loadtool._caller import Answer
-from loadtool._chats import SentRequest
 from loadtool._histograms import Histogram
 from loadtool._results import PhaseResult, Series, ZoneResult
+from loadtool._reuse_bound import ReuseCounts
 from loadtool._samples import EngineSample
 from loadtool._scenario import Phase
+from loadtool._workload import SentRequest
 from rhubarbbend.core.configuration import Service
 
 BIN_S: Final = 1.0
--- a/loadtool/_ledger.py
+++ b/loadtool/_answer_log.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define(slots=True)
-class Ledger:
+class AnswerLog:
     """Counts and keeps the answers of a run.
 
     Each answer counts as good, wrong, refused (by code) or failed (by reason).
@@ -41,29 +41,29 @@
 
     commands: dict[str, CommandRecord] = attrs.Factory(dict)
     requests: int = 0
-    good: int = 0
-    wrong: list[Answer] = attrs.Factory(list)
+    good_count: int = 0
+    wrong_answers: list[Answer] = attrs.Factory(list)
     refusals: Counter[str] = attrs.Factory(Counter)
     failures: Counter[str] = attrs.Factory(Counter)
 
-    def add(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Record an answer."""
         self.requests += 1
         if answer.good:
-            self.good += 1
+            self.good_count += 1
         elif answer.wrong:
-            self.wrong.append(answer)
+            self.wrong_answers.append(answer)
         elif answer.code:
             self.refusals[answer.code] += 1
         else:
             self.failures[answer.failure or f"status {answer.status}, not whole"] += 1
 
-    def add_command(self, key: str, answer: Answer) -> None:
+    def record_command_answer(self, key: str, answer: Answer) -> None:
         """Record an answer to the command with an idempotency key."""
-        self.add(answer)
+        self.record_answer(answer)
         self.commands.setdefault(key, CommandRecord(key)).answers.append(answer)
 
-    def find_broken(self, runs: dict[str, int]) -> list[str]:
+    def find_violations(self, runs: dict[str, int]) -> list[str]:
         """Compare the answers with the number of runs by key; return a line for each violation.
 
         A command that was answered must have run exactly once, one whose final answer is "not run"
@@ -71,7 +71,7 @@
         """
         broken = [
             f"an answer was complete with status 200, but not the right one: {answer}"
-            for answer in self.wrong
+            for answer in self.wrong_answers
         ]
         for key, count in runs.items():
             if count > 1:
--- a/loadtool/_caller.py
+++ b/loadtool/_caller.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from rhubarbbend.http import Connection, HttpFailure, Response
-from standins._engine import Message, make_words
+from standins._engine import Message, make_completion_words
 
 Address = tuple[str, int]
 CONNECT_TIMEOUT = 2.0
@@ -114,7 +114,7 @@
             deadline + 5.0,
         )
         if answer.status == 200 and answer.whole:
-            expected = "".join(make_words(chat.messages, max_tokens))
+            expected = "".join(make_completion_words(chat.messages, max_tokens))
             text = _read_stream(answer) if stream else _read_whole(answer)
             answer.right = text == expected
             if answer.right:
--- a/loadtool/_chaos.py
+++ b/loadtool/_chaos.py
@@ -12,13 +12,13 @@
 
 import attrs
 
+from loadtool._answer_log import AnswerLog
 from loadtool._balancer import Balancer
 from loadtool._caller import Address, Answer, Caller, Chat
 from loadtool._cluster import Cluster
-from loadtool._faults import FaultRunner, OutPeriod
-from loadtool._ledger import Ledger
+from loadtool._fault_schedule import FleetLayout, ScheduledFault, make_fault_schedule
+from loadtool._faults import FaultInjector, OutOfServicePeriod
 from loadtool._processes import ROOT
-from loadtool._schedule import Layout, Step, make_schedule
 from rhubarbbend.http import HttpFailure
 
 ZONES: Final = ["almaty-a", "almaty-b", "almaty-c"]
@@ -40,24 +40,24 @@
     """What a run showed; `broken` is empty if every promise held."""
 
     seed: int
-    ledger: Ledger
+    answer_log: AnswerLog
     broken: list[str]
     stop_seconds: list[float]
     most_running: int
 
 
-def make_layout() -> Layout:
+def make_layout() -> FleetLayout:
     """Name the nodes of the deployment."""
     letters = [zone[-1] for zone in ZONES]
-    return Layout(
+    return FleetLayout(
         zones=ZONES,
         instances=[f"entry-{z}{n + 1}" for z in letters for n in range(INSTANCES_PER_ZONE)],
         engines=[f"engine-{z}{n + 1}" for z in letters for n in range(ENGINES_PER_ZONE)],
-        plains=[f"booking-{z}1" for z in letters],
+        plain_services=[f"booking-{z}1" for z in letters],
     )
 
 
-async def _start(cluster: Cluster, layout: Layout) -> None:
+async def _start(cluster: Cluster, layout: FleetLayout) -> None:
     zone_of = {zone[-1]: zone for zone in ZONES}
     await cluster.start_platform()
     starts: list[Awaitable[Any]] = []
@@ -65,7 +65,7 @@
         starts.append(cluster.start_instance(name, zone_of[name[-2]]))
     for name in layout.engines:
         starts.append(cluster.start_engine(name, zone_of[name[-2]], "planner", *ENGINE_OPTIONS))
-    for name in layout.plains:
+    for name in layout.plain_services:
         starts.append(cluster.start_plain(name, zone_of[name[-2]], "booking"))
     await asyncio.gather(*starts)
     await cluster.register()
@@ -77,7 +77,9 @@
 class Load:
     """The callers of a run."""
 
-    def __init__(self, list_ready: Callable[[], list[Address]], ledger: Ledger, seed: int) -> None:
+    def __init__(
+        self, list_ready: Callable[[], list[Address]], ledger: AnswerLog, seed: int
+    ) -> None:
         self._ledger = ledger
         self._seed = seed
         self.chats = Caller(list_ready, "pilgrim-groups-key")
@@ -98,7 +100,7 @@
             chat.ask(f"{chat.id} turn {chat.turns}: " + "tent ghat ration " * rng.randrange(5, 60))
             stream = rng.random() < 0.8
             answer = await self.chats.ask_chat(chat, rng.randrange(4, 60), stream, deadline=15.0)
-            self._ledger.add(answer)
+            self._ledger.record_answer(answer)
             if not answer.good:
                 chat.messages.pop()
                 chat.ticket = "" if rng.random() < 0.2 else chat.ticket
@@ -115,14 +117,14 @@
             if rng.random() < 0.2:
                 answers = await asyncio.gather(self._send(key, body), self._send(key, body))
                 for answer in answers:
-                    self._ledger.add_command(key, answer)
+                    self._ledger.record_command_answer(key, answer)
             await self._send_until_known(key, body, rng)
             await asyncio.sleep(rng.uniform(0.02, 0.15))
 
     async def _send_until_known(self, key: str, body: bytes, rng: random.Random) -> None:
         for _ in range(COMMAND_TRIES):
             answer = await self._send(key, body)
-            self._ledger.add_command(key, answer)
+            self._ledger.record_command_answer(key, answer)
             # Half of the refused commands are given up, so that "not run" stands as final.
             given_up = answer.verdict == "not_run" and rng.random() < 0.5
             if answer.good or given_up:
@@ -136,14 +138,14 @@
         rng = random.Random(f"{self._seed}-lookup-{worker}")
         while time.monotonic() < until:
             path = f"/booking/plots/{rng.randrange(10_000)}"
-            self._ledger.add(await self.commands.look_up(path, deadline=6.0))
+            self._ledger.record_answer(await self.commands.look_up(path, deadline=6.0))
             await asyncio.sleep(rng.uniform(0.02, 0.15))
 
 
 class Watch:
     """Looks at the targets during a run: load, and new work while out of service."""
 
-    def __init__(self, cluster: Cluster, faults: FaultRunner) -> None:
+    def __init__(self, cluster: Cluster, faults: FaultInjector) -> None:
         self._cluster = cluster
         self._faults = faults
         self._seen_requests: dict[str, tuple[str, int]] = {}
@@ -179,7 +181,7 @@
         return [
             f"cold engine {name} boot {boot_id} fell over {count} times"
             for (name, boot_id), count in sorted(self._fell_over.items())
-            if count > self._faults.cold_turns[name]
+            if count > self._faults.cold_cache_counts[name]
         ]
 
     def _check_out(self, name: str, stats: dict[str, Any]) -> None:
@@ -188,16 +190,16 @@
         self._seen_requests[name] = (stats["boot_id"], stats["requests"])
         if boot_id != stats["boot_id"] or stats["requests"] <= before:
             return
-        for period in self._faults.out_periods:
+        for period in self._faults.out_of_service_periods:
             if self._is_out(name, period) and stats["last_request"] > (
-                period.accepted + LEAVE_SECONDS
+                period.accepted_at + LEAVE_SECONDS
             ):
-                late = stats["last_request"] - period.accepted
+                late = stats["last_request"] - period.accepted_at
                 self.broken.add(f"{name} got work {late:.1f} s after {period.name} went out")
 
-    def _is_out(self, name: str, period: OutPeriod) -> bool:
+    def _is_out(self, name: str, period: OutOfServicePeriod) -> bool:
         node = self._cluster.targets[name]
-        return not period.ended and period.name in (name, node.zone)
+        return not period.ended_at and period.name in (name, node.zone)
 
 
 async def _check_recovery(cluster: Cluster, load: Load) -> list[str]:
@@ -234,18 +236,18 @@
 async def run_chaos(seed: int, duration: float, folder: Path) -> ChaosResult:
     """Run a seed's schedule and check every promise."""
     layout = make_layout()
-    schedule = make_schedule(seed, duration, layout)
-    ledger = Ledger()
+    schedule = make_fault_schedule(seed, duration, layout)
+    ledger = AnswerLog()
     async with Cluster(folder, ZONES, proxied=True) as cluster:
         await _start(cluster, layout)
         return await _run_schedule(cluster, seed, duration, schedule, ledger)
 
 
 async def _run_schedule(
-    cluster: Cluster, seed: int, duration: float, schedule: list[Step], ledger: Ledger
+    cluster: Cluster, seed: int, duration: float, schedule: list[ScheduledFault], ledger: AnswerLog
 ) -> ChaosResult:
     addresses = [node.address for node in cluster.instances.values()]
-    faults = FaultRunner(cluster)
+    faults = FaultInjector(cluster)
     async with Balancer(lambda: addresses) as balancer:
         load = Load(lambda: balancer.list_ready() or addresses, ledger, seed)
         watch = Watch(cluster, faults)
@@ -263,14 +265,17 @@
             for status in faults.stop_statuses
             if status != 0
         ]
-    broken += ledger.find_broken(cluster.read_runs())
+    broken += ledger.find_violations(cluster.read_runs())
     return ChaosResult(seed, ledger, broken, faults.stop_seconds, watch.most_running)
 
 
 def print_result(result: ChaosResult) -> None:
     """Print a run's figures and every broken promise."""
-    ledger = result.ledger
-    print(f"  {ledger.requests} requests, {ledger.good} whole answers, {len(ledger.wrong)} wrong")
+    ledger = result.answer_log
+    print(
+        f"  {ledger.requests} requests, {ledger.good_count} whole answers, "
+        f"{len(ledger.wrong_answers)} wrong"
+    )
     print(f"  {len(ledger.commands)} commands; most running at one engine: {result.most_running}")
     for code, count in sorted(ledger.refusals.items()):
         print(f"  refused {code}: {count}")
@@ -286,7 +291,7 @@
 def main(seed: int, duration: float) -> int:
     """Run one seed; gives exit status 1 if a promise was broken."""
     print(f"chaos: seed {seed}, {duration:.0f} s")
-    for step in make_schedule(seed, duration, make_layout()):
+    for step in make_fault_schedule(seed, duration, make_layout()):
         print(f"  {step}")
     with tempfile.TemporaryDirectory(prefix="rhubarbbend-chaos-") as name:
         result = asyncio.run(run_chaos(seed, duration, Path(name)))
--- a/loadtool/_commands.py
+++ b/loadtool/_commands.py
@@ -12,12 +12,12 @@
 
 from loadtool._deployments import DEPLOYMENTS
 from loadtool._measure import RunOptions, measure
-from loadtool._planning import format_plan_times
 from loadtool._plots import draw_plots
 from loadtool._processes import ROOT
-from loadtool._relay import format_relay, measure_relay
+from loadtool._relay_cost import format_relay, measure_relay
 from loadtool._report import format_comparison, format_markdown, format_run
 from loadtool._results import RunResult, read_results, write_result
+from loadtool._routing_cost import format_plan_times
 from rhubarbbend.core.routing import POLICIES
 
 T = TypeVar("T")
--- a/loadtool/_control.py
+++ b/loadtool/_control_cost.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from loadtool._cluster import Node
-from loadtool._counters import CounterSink
+from loadtool._counter_sink import CounterSink
 from loadtool._results import ControlResult
 from loadtool._samples import read_processor_time
 
@@ -50,7 +50,7 @@
         return ControlResult(rates, sum(shares) / count, max(shares))
 
     def _read_counters(self) -> Counter[str]:
-        total = self._sink.sum_all()
+        total = self._sink.sum_over_instances()
         return Counter({k: v for k, v in total.items() if k.startswith(CONTROL_PREFIX)})
 
     def _read_processor_times(self) -> list[float]:
--- a/loadtool/_counters.py
+++ b/loadtool/_counter_sink.py
@@ -14,7 +14,7 @@
     """Receives statsd datagrams and sums their counters by instance and name."""
 
     def __init__(self) -> None:
-        self.by_instance: dict[str, Counter[str]] = {}
+        self.counters_by_instance: dict[str, Counter[str]] = {}
 
     def datagram_received(self, data: bytes, address: object) -> None:
         """Add the counters of one datagram; lines of other kinds and invalid ones are ignored."""
@@ -23,12 +23,12 @@
             value, _, kind = rest.partition("|")
             instance, _, counter = name.partition(".")
             if kind == "c" and value.lstrip("-").isdigit():
-                self.by_instance.setdefault(instance, Counter())[counter] += int(value)
+                self.counters_by_instance.setdefault(instance, Counter())[counter] += int(value)
 
-    def sum_all(self) -> Counter[str]:
+    def sum_over_instances(self) -> Counter[str]:
         """Return the counters by name, summed over all instances."""
         total: Counter[str] = Counter()
-        for counters in self.by_instance.values():
+        for counters in self.counters_by_instance.values():
             total.update(counters)
         return total
 
--- a/loadtool/_schedule.py
+++ b/loadtool/_fault_schedule.py
@@ -42,7 +42,7 @@
 
 
 @attrs.define(slots=True, frozen=True)
-class Step:
+class ScheduledFault:
     """A fault that starts `at` and ends `until` so many seconds after the start of the run.
 
     `victim` is the node or zone that it affects. `peer_zone` is the other zone of a partition, or
@@ -63,16 +63,16 @@
 
 
 @attrs.define(slots=True, frozen=True)
-class Layout:
+class FleetLayout:
     """The names of the zones and nodes that faults can affect."""
 
     zones: Sequence[str]
     instances: Sequence[str]
     engines: Sequence[str]
-    plains: Sequence[str]
+    plain_services: Sequence[str]
 
 
-def make_schedule(seed: int, duration: float, layout: Layout) -> list[Step]:
+def make_fault_schedule(seed: int, duration: float, layout: FleetLayout) -> list[ScheduledFault]:
     """Return random faults for a run of so many seconds.
 
     No fault is active in the last quarter of the run, which is left for recovery. A node has one
@@ -80,7 +80,7 @@
     may overlap.
     """
     rng = default_rng(seed)
-    steps: list[Step] = []
+    steps: list[ScheduledFault] = []
     at = QUIET_START_S
     last = duration * 0.75
     while at < last:
@@ -93,27 +93,29 @@
     return steps
 
 
-def _choose_step(rng: Generator, at: float, until: float, fault: Fault, layout: Layout) -> Step:
+def _choose_step(
+    rng: Generator, at: float, until: float, fault: Fault, layout: FleetLayout
+) -> ScheduledFault:
     victim = choose(rng, _list_possible_victims(fault, layout))
     peer_zone = ""
     if fault is Fault.PARTITION_ZONES:
         peer_zone = choose(rng, [zone for zone in layout.zones if zone != victim])
     elif fault in (Fault.CUT_CONNECTIONS, Fault.SILENCE_CONNECTIONS):
         peer_zone = choose(rng, layout.zones)
-    return Step(round(at, 2), round(until, 2), fault, victim, peer_zone)
+    return ScheduledFault(round(at, 2), round(until, 2), fault, victim, peer_zone)
 
 
-def _list_possible_victims(fault: Fault, layout: Layout) -> Sequence[str]:
+def _list_possible_victims(fault: Fault, layout: FleetLayout) -> Sequence[str]:
     if fault in (Fault.KILL_INSTANCE, Fault.FREEZE_INSTANCE, Fault.STOP_INSTANCE):
         return layout.instances
     if fault in (Fault.KILL_ENGINE, Fault.TURN_COLD):
         return layout.engines
     if fault is Fault.KILL_PLAIN:
-        return layout.plains
+        return layout.plain_services
     if fault in (Fault.FREEZE_TARGET, Fault.TARGET_OUT):
-        return [*layout.engines, *layout.plains]
+        return [*layout.engines, *layout.plain_services]
     if fault in (Fault.CUT_CONNECTIONS, Fault.SILENCE_CONNECTIONS):
-        return [*layout.engines, *layout.plains, *layout.instances, "platform"]
+        return [*layout.engines, *layout.plain_services, *layout.instances, "platform"]
     if fault in (Fault.PARTITION_ZONES, Fault.ZONE_OUT):
         return layout.zones
     return ["platform"]
@@ -124,7 +126,7 @@
     return items[int(rng.integers(len(items)))]
 
 
-def _overlap(step: Step, earlier: Step) -> bool:
+def _overlap(step: ScheduledFault, earlier: ScheduledFault) -> bool:
     """Return whether two faults affect the same node at the same time.
 
     Zones out of service, and likewise partitions, must not overlap among themselves either.
--- a/loadtool/_faults.py
+++ b/loadtool/_faults.py
@@ -11,14 +11,14 @@
 import attrs
 
 from loadtool._cluster import Cluster, Node
-from loadtool._schedule import Fault, Step
+from loadtool._fault_schedule import Fault, ScheduledFault
 
 # Rounds over all instances in which an operator command is tried.
 MAX_COMMAND_ATTEMPTS = 20
 
 
 @attrs.define(slots=True)
-class OutPeriod:
+class OutOfServicePeriod:
     """A period in which a zone or target was out of service.
 
     `accepted` and `ended` are Unix times: when the command was accepted, and when the return to
@@ -26,21 +26,21 @@
     """
 
     name: str
-    accepted: float
-    ended: float = 0.0
+    accepted_at: float
+    ended_at: float = 0.0
 
 
-class FaultRunner:
+class FaultInjector:
     """Injects faults. Invariant: each fault that lasts is undone at the end of its step."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self.out_periods: list[OutPeriod] = []
+        self.out_of_service_periods: list[OutOfServicePeriod] = []
         self.stop_seconds: list[float] = []
         self.stop_statuses: list[int] = []
         # How often each engine was made cold under an unchanged boot id, by name.
-        self.cold_turns: Counter[str] = Counter()
-        self._injectors: dict[Fault, Callable[[Step], Awaitable[None]]] = {
+        self.cold_cache_counts: Counter[str] = Counter()
+        self._injectors: dict[Fault, Callable[[ScheduledFault], Awaitable[None]]] = {
             Fault.KILL_INSTANCE: self._kill_instance,
             Fault.FREEZE_INSTANCE: self._freeze_instance,
             Fault.STOP_INSTANCE: self._stop_instance,
@@ -58,7 +58,7 @@
             Fault.TARGET_OUT: self._take_out_of_service,
         }
 
-    async def run(self, step: Step, started: float) -> None:
+    async def run(self, step: ScheduledFault, started: float) -> None:
         """Inject the fault of a step at its time and undo it at its end.
 
         `started` is the start of the run on the monotonic clock.
@@ -68,7 +68,7 @@
         await _sleep_until(started + step.until)
         await self._end_fault(step)
 
-    async def _end_fault(self, step: Step) -> None:
+    async def _end_fault(self, step: ScheduledFault) -> None:
         cluster = self._cluster
         fault = step.fault
         if fault in (Fault.KILL_INSTANCE, Fault.STOP_INSTANCE):
@@ -88,71 +88,71 @@
         elif fault in (Fault.ZONE_OUT, Fault.TARGET_OUT):
             await self._return_to_service(step)
 
-    async def _kill_instance(self, step: Step) -> None:
+    async def _kill_instance(self, step: ScheduledFault) -> None:
         await self._cluster.instances[step.victim].process.kill()
 
-    async def _freeze_instance(self, step: Step) -> None:
+    async def _freeze_instance(self, step: ScheduledFault) -> None:
         self._cluster.instances[step.victim].process.freeze()
 
-    async def _stop_instance(self, step: Step) -> None:
+    async def _stop_instance(self, step: ScheduledFault) -> None:
         """Stop an instance gracefully, wait for its end, and record duration and exit status."""
         began = time.monotonic()
         status = await self._cluster.instances[step.victim].process.stop(timeout=60.0)
         self.stop_seconds.append(time.monotonic() - began)
         self.stop_statuses.append(status)
 
-    async def _kill_target(self, step: Step) -> None:
+    async def _kill_target(self, step: ScheduledFault) -> None:
         await self._cluster.targets[step.victim].process.kill()
 
-    async def _freeze_target(self, step: Step) -> None:
+    async def _freeze_target(self, step: ScheduledFault) -> None:
         self._cluster.targets[step.victim].process.freeze()
 
-    async def _turn_cold(self, step: Step) -> None:
-        self.cold_turns[step.victim] += 1
+    async def _turn_cold(self, step: ScheduledFault) -> None:
+        self.cold_cache_counts[step.victim] += 1
         await self._cluster.set_faults(self._cluster.targets[step.victim], turn_cold=True)
 
-    async def _cut_connections(self, step: Step) -> None:
+    async def _cut_connections(self, step: ScheduledFault) -> None:
         await self._cluster.set_route_faults(
             step.peer_zone, [self._find_node(step.victim)], cut=True
         )
 
-    async def _silence_connections(self, step: Step) -> None:
+    async def _silence_connections(self, step: ScheduledFault) -> None:
         await self._cluster.set_route_faults(
             step.peer_zone, [self._find_node(step.victim)], freeze=True
         )
 
-    async def _partition_zones(self, step: Step) -> None:
+    async def _partition_zones(self, step: ScheduledFault) -> None:
         await self._set_partition(step, True)
 
-    async def _set_partition(self, step: Step, on: bool) -> None:
+    async def _set_partition(self, step: ScheduledFault, on: bool) -> None:
         for source_zone, far_zone in ((step.victim, step.peer_zone), (step.peer_zone, step.victim)):
             nodes = [node for node in self._list_nodes() if node.zone == far_zone]
             await self._cluster.set_route_faults(source_zone, nodes, blackhole=on)
 
-    async def _start_platform_outage(self, step: Step) -> None:
+    async def _start_platform_outage(self, step: ScheduledFault) -> None:
         await self._set_platform_faults(outage=True)
 
-    async def _slow_platform(self, step: Step) -> None:
+    async def _slow_platform(self, step: ScheduledFault) -> None:
         await self._set_platform_faults(delay=0.2)
 
-    async def _drop_platform_answers(self, step: Step) -> None:
+    async def _drop_platform_answers(self, step: ScheduledFault) -> None:
         await self._set_platform_faults(lose_answers=3)
 
     async def _set_platform_faults(self, **faults: Any) -> None:
         assert self._cluster.platform is not None
         await self._cluster.set_faults(self._cluster.platform, **faults)
 
-    async def _take_out_of_service(self, step: Step) -> None:
+    async def _take_out_of_service(self, step: ScheduledFault) -> None:
         await self._run_service_command("out", step)
-        self.out_periods.append(OutPeriod(step.victim, time.time()))
+        self.out_of_service_periods.append(OutOfServicePeriod(step.victim, time.time()))
 
-    async def _return_to_service(self, step: Step) -> None:
-        for period in self.out_periods:
-            if period.name == step.victim and not period.ended:
-                period.ended = time.time()
+    async def _return_to_service(self, step: ScheduledFault) -> None:
+        for period in self.out_of_service_periods:
+            if period.name == step.victim and not period.ended_at:
+                period.ended_at = time.time()
         await self._run_service_command("in", step)
 
-    async def _run_service_command(self, direction: str, step: Step) -> None:
+    async def _run_service_command(self, direction: str, step: ScheduledFault) -> None:
         """Run an operator command until an instance accepts it, as an operator would."""
         kind = "zone" if step.fault is Fault.ZONE_OUT else "target"
         output = ""
--- a/loadtool/_measure.py
+++ b/loadtool/_measure.py
@@ -14,16 +14,16 @@
 import attrs
 
 from loadtool import _analysis
-from loadtool._bound import compute_reuse_bound
-from loadtool._chats import TIME_SCALE_FACTOR, LoadGenerator
-from loadtool._control import ControlWindow, measure_idle_control
-from loadtool._counters import CounterSink, open_sink
+from loadtool._control_cost import ControlWindow, measure_idle_control
+from loadtool._counter_sink import CounterSink, open_sink
 from loadtool._deployments import DEPLOYMENTS, Deployment
 from loadtool._fleet import MeasuredFleet
 from loadtool._probes import PairedProbes
 from loadtool._results import ControlResult, RunResult
+from loadtool._reuse_bound import compute_reuse_bound
 from loadtool._samples import EngineSampler
 from loadtool._scenario import STEADY, WARM, ZONE_OUT, Phase, Scenario, plan_phases
+from loadtool._workload import TIME_SCALE_FACTOR, LoadGenerator
 from rhubarbbend.cli._declarations import read_declarations
 from rhubarbbend.core.configuration import Service
 
@@ -80,7 +80,7 @@
             result.idle = idle
             result.busy = await busy_task
             result.run_twice = sum(count > 1 for count in runs.values())
-            result.counters = dict(sorted(sink.sum_all().items()))
+            result.counters = dict(sorted(sink.sum_over_instances().items()))
             result.fleet_first = probes.fleet_times.first_byte.compute_quantiles()
             result.direct_first = probes.direct_times.first_byte.compute_quantiles()
             result.fleet_gap = probes.fleet_times.gap.compute_quantiles()
--- a/loadtool/_bound.py
+++ b/loadtool/_reuse_bound.py
@@ -87,15 +87,16 @@
         text = turn.join_prompt()
         visited_engines = engines_by_chat.setdefault(turn.chat, set())
         cached_by_engine = {
-            name: caches[name].count_held(text) for name in visited_engines.intersection(usable)
+            name: caches[name].count_cached_tokens(text)
+            for name in visited_engines.intersection(usable)
         }
         if any(cached_by_engine.values()):
             engine = max(cached_by_engine, key=lambda name: cached_by_engine[name])
         else:
-            engine = min(usable, key=lambda name: (caches[name].size, tokens_computed[name]))
+            engine = min(usable, key=lambda name: (caches[name].block_count, tokens_computed[name]))
             visited_engines.add(engine)
         tokens = len(text) // CHARS_PER_TOKEN
-        cached_in_engine = caches[engine].read(text)
+        cached_in_engine = caches[engine].insert_and_count_hits(text)
         tokens_computed[engine] += tokens - cached_in_engine
         phase = next((i for i, end in enumerate(phase_ends) if turn.at < end), -1)
         phase_counts[phase].prompt_tokens += tokens
--- a/loadtool/_scenario.py
+++ b/loadtool/_scenario.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from loadtool._bound import EngineSpan
 from loadtool._fleet import MeasuredFleet
+from loadtool._reuse_bound import EngineSpan
 
 WARM: Final = "warm"
 STEADY: Final = "steady"
--- a/loadtool/_slopes_wire.py
+++ b/loadtool/_slopes_wire.py
@@ -12,7 +12,7 @@
 
 from loadtool._caller import Caller, Chat
 from loadtool._cluster import HOST, Cluster, Node
-from loadtool._counters import CounterSink, open_sink
+from loadtool._counter_sink import CounterSink, open_sink
 from loadtool._processes import ROOT
 from loadtool._slopes_fit import Series, fit
 
@@ -111,11 +111,11 @@
     nodes = list(cluster.instances.values())
     peers = len(nodes) - 1
     spent = sum(read_spent(node.process.pid) for node in nodes)
-    counted = Counter(sink.sum_all())
+    counted = Counter(sink.sum_over_instances())
     await asyncio.sleep(WINDOW)
     share = len(nodes) * WINDOW
     spent = sum(read_spent(node.process.pid) for node in nodes) - spent
-    total = sink.sum_all()
+    total = sink.sum_over_instances()
     cost.processor.setdefault(peers, []).append(spent / share * 1e6)
     for name, samples in (("peer", cost.peer_bytes), ("platform", cost.platform_bytes)):
         key = f"control.{name}_bytes"
--- a/loadtool/_soak_schedule.py
+++ b/loadtool/_soak_schedule.py
@@ -9,7 +9,7 @@
 import attrs
 from numpy.random import default_rng
 
-from loadtool._schedule import choose
+from loadtool._fault_schedule import choose
 
 # Faults start this far apart on average, and end this long before the run does, in seconds. With
 # lengths of 2 to 3 s in the mean, two or three overlap.
--- a/loadtool/_waiting.py
+++ b/loadtool/_waiting.py
@@ -7,7 +7,7 @@
 
 
 async def wait_until(
-    what: str, check: Callable[[], Awaitable[bool]], timeout: float = 10.0
+    description: str, check: Callable[[], Awaitable[bool]], timeout: float = 10.0
 ) -> None:
     """Wait until `check` returns true.
 
@@ -19,5 +19,5 @@
                 await asyncio.sleep(0.03)
         except TimeoutError as error:
             raise AssertionError(
-                f"timed out after {timeout} s while waiting for: {what}"
+                f"timed out after {timeout} s while waiting for: {description}"
             ) from error
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -6,7 +6,7 @@
 import asyncio
 import signal
 
-from standins import _engine, _plain, _platform, _proxy, _tables, _worker
+from standins import _engine, _plain_service, _platform, _proxy, _table_store, _worker
 from standins._server import StandIn
 
 
@@ -20,7 +20,7 @@
         "--lag", type=float, default=0.5, help="seconds by which the instance list lags behind"
     )
     _engine.add_options(subparsers.add_parser("engine"))
-    _plain.add_options(subparsers.add_parser("plain"))
+    _plain_service.add_options(subparsers.add_parser("plain"))
     subparsers.add_parser("proxy")
     subparsers.add_parser("tables")
     _worker.add_options(subparsers.add_parser("worker"))
@@ -33,9 +33,9 @@
     if options.kind == "engine":
         return _engine.make_engine(options)
     if options.kind == "plain":
-        return _plain.make_service(options)
+        return _plain_service.make_service(options)
     if options.kind == "tables":
-        return _tables.Tables()
+        return _table_store.TableStore()
     if options.kind == "worker":
         return _worker.make_worker(options)
     return _proxy.Proxy(options.host)
--- a/standins/_engine.py
+++ b/standins/_engine.py
@@ -79,7 +79,7 @@
     last_request: float = 0.0
 
 
-def make_words(messages: list[Message], count: int) -> list[str]:
+def make_completion_words(messages: list[Message], count: int) -> list[str]:
     """Return the first `count` words of the completion that every engine gives to a prompt."""
     seed = hashlib.blake2b(digest_size=16)
     for message in messages:
@@ -98,7 +98,7 @@
         self._capacity = max(1, capacity * CHARS_PER_TOKEN // BLOCK_CHARS)
         self._blocks: OrderedDict[bytes, None] = OrderedDict()
 
-    def read(self, text: str) -> int:
+    def insert_and_count_hits(self, text: str) -> int:
         """Insert the blocks of a prompt; return how many of its tokens were already cached."""
         digest = hashlib.blake2b(digest_size=12)
         cached_tokens = 0
@@ -116,7 +116,7 @@
             self._blocks.popitem(last=False)
         return cached_tokens
 
-    def count_held(self, text: str) -> int:
+    def count_cached_tokens(self, text: str) -> int:
         """Return how many tokens of a prompt are cached, without changing the cache."""
         digest = hashlib.blake2b(digest_size=12)
         cached_tokens = 0
@@ -128,7 +128,7 @@
         return cached_tokens
 
     @property
-    def size(self) -> int:
+    def block_count(self) -> int:
         """The number of cached blocks."""
         return len(self._blocks)
 
@@ -292,7 +292,7 @@
     async def _prefill(self, run: Run) -> int:
         text = "".join(f"{m.role}\0{m.content}\0" for m in run.request.messages)
         tokens = len(text) // CHARS_PER_TOKEN
-        cached = self._cache.read(text)
+        cached = self._cache.insert_and_count_hits(text)
         self._stats.prompt_tokens += tokens
         self._stats.cached_tokens += cached
         rate = self._options.prefill_rate
@@ -303,7 +303,7 @@
         return cached
 
     async def _generate_words(self, run: Run, cached: int) -> None:
-        words = make_words(run.request.messages, run.request.max_tokens)
+        words = make_completion_words(run.request.messages, run.request.max_tokens)
         token_time = self._options.token_time
         usage = {
             "prompt_tokens": sum(len(m.content) for m in run.request.messages) // CHARS_PER_TOKEN,
--- a/standins/_tables.py
+++ b/standins/_table_store.py
@@ -57,7 +57,7 @@
     raw: str | None = None
 
 
-class Tables(StandIn):
+class TableStore(StandIn):
     """The store, in memory. Invariant: each change increases the version by one."""
 
     def __init__(self) -> None:
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -12,7 +12,7 @@
 from adapter import PlatformRowStore
 from adapter._row_store import RowsResponse, WireRow
 from rhubarbbend.storage import StoreError, VersionConflict
-from standins._tables import Tables
+from standins._table_store import TableStore
 
 # Simulates a slow link: one chunk per pause. A table of 100 KB takes 1.3 s in total, which is
 # longer than the time for which the store may send no data.
@@ -73,7 +73,7 @@
     # row again first. If the row were deleted anyway, the live instance would use its share of the
     # fleet's limits without being counted, until it noticed that its row is gone.
     async def run() -> None:
-        port = await Tables().listen("127.0.0.1", 0)
+        port = await TableStore().listen("127.0.0.1", 0)
         store = PlatformRowStore(("127.0.0.1", port))
         await store.put_row("instances", "front-0", b"first")
         outdated = (await store.read_table("instances")).rows[0]
--- a/tests/cli/test_declarations.py
+++ b/tests/cli/test_declarations.py
@@ -14,7 +14,7 @@
     read_declarations,
 )
 from rhubarbbend.settings import SettingsInvalid
-from tests.fleet.harness import TENGRI
+from tests.fleet.harness import TENGRI_DIR
 
 KEY_DIGEST = "a" * 64
 
@@ -30,7 +30,7 @@
 
     The absent field has its default value, so it must not show up as a difference.
     """
-    declared = read_declarations(TENGRI)
+    declared = read_declarations(TENGRI_DIR)
     differences = find_differences({}, declared)
     current = {(d.kind, d.name): d.value for d in differences}
     assert len(differences) == len(declared) and not check_differences({}, differences)
@@ -71,7 +71,7 @@
     assert [f"{d.sign} {d.kind} {d.name} {d.detail}" for d in differences] == expected
 
 
-@pytest.mark.parametrize("folder", sorted(TENGRI.parent.iterdir()), ids=lambda p: p.name)
+@pytest.mark.parametrize("folder", sorted(TENGRI_DIR.parent.iterdir()), ids=lambda p: p.name)
 def test_the_example_declarations_are_valid(folder: Path) -> None:
     differences = find_differences({}, read_declarations(folder))
     assert differences and check_differences({}, differences) == []
--- a/tests/docs/test_examples.py
+++ b/tests/docs/test_examples.py
@@ -11,7 +11,7 @@
 import attrs
 
 from loadtool._processes import ROOT
-from tests.fleet.harness import run, start_fleet
+from tests.fleet.harness import run_with_timeout, start_fleet
 
 PAGE = ROOT / "docs" / "INTERFACES.md"
 EXPECTED = "# -> "
@@ -77,4 +77,4 @@
                 for part in parts:
                     assert part.lower() in shown.lower(), (example.line, part, shown)
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -13,10 +13,10 @@
 from loadtool._processes import ROOT
 
 ZONES = ["almaty-a", "almaty-b", "almaty-c"]
-TENGRI = ROOT / "examples" / "tengri"
+TENGRI_DIR = ROOT / "examples" / "tengri"
 
 
-def run(work: Callable[[], Awaitable[None]], timeout: float = 90.0) -> None:
+def run_with_timeout(work: Callable[[], Awaitable[None]], timeout: float = 90.0) -> None:
     """Run a test's coroutine with a timeout in seconds, far above what a passing test takes."""
 
     async def run_limited() -> None:
@@ -35,7 +35,7 @@
     plain_services: int = 1,
     engine_options: tuple[str, ...] = (),
     plain_options: tuple[str, ...] = (),
-    declarations: Path = TENGRI,
+    declarations: Path = TENGRI_DIR,
     **options: Any,
 ) -> AsyncIterator[Cluster]:
     """Start a fleet behind proxies and yield it once every instance and target is ready.
--- a/tests/fleet/test_answers.py
+++ b/tests/fleet/test_answers.py
@@ -10,7 +10,7 @@
 
 from loadtool import Caller, Chat, Cluster
 from loadtool._cluster import Node
-from tests.fleet.harness import make_caller, run, start_fleet, wait_until
+from tests.fleet.harness import make_caller, run_with_timeout, start_fleet, wait_until
 
 
 def list_engines(cluster: Cluster) -> list[Node]:
@@ -65,7 +65,7 @@
             assert await sum_engine_stat(cluster, "requests") == 4
             assert await sum_engine_stat(cluster, "resumed") == 4
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_answer_of_another_request_reaches_no_caller(tmp_path: Path) -> None:
@@ -85,7 +85,7 @@
                 assert answer.good, answer
             assert await sum_engine_stat(cluster, "requests") == 2
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_engine_killed_mid_stream_leaves_a_visibly_truncated_answer(tmp_path: Path) -> None:
@@ -113,7 +113,7 @@
             assert not answer.whole and not answer.good, answer
             assert answer.status == 200 and answer.failure
 
-    run(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize("moment", ["idle", "before_head", "in_stream"])
@@ -148,7 +148,7 @@
             assert answer.total < 9.0, answer
             assert await sum_engine_stat(cluster, "requests") == 2
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_lookup_on_a_silent_connection_is_retried(tmp_path: Path) -> None:
@@ -167,7 +167,7 @@
             assert answer.good, answer
             assert answer.total < 5.0, answer
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_slow_first_byte_does_not_run_the_request_twice(tmp_path: Path) -> None:
@@ -191,7 +191,7 @@
             assert await sum_engine_stat(cluster, "requests") == 2
             assert await sum_engine_stat(cluster, "cancelled") == 0
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_no_wrong_answers_under_load_with_faults(tmp_path: Path) -> None:
@@ -233,7 +233,7 @@
             good = [is_good for outcomes in outcomes_by_caller for is_good in outcomes]
             assert sum(good) >= 0.9 * len(good), f"{sum(good)} of {len(good)}"
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_error_event_of_a_cut_stream_is_valid_json() -> None:
--- a/tests/fleet/test_bound.py
+++ b/tests/fleet/test_bound.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.fleet.harness import run, start_fleet, wait_until
-from tests.fleet.load import (
+from tests.fleet.harness import run_with_timeout, start_fleet, wait_until
+from tests.fleet.load_helpers import (
     LoadResults,
     compute_load_bound,
     fetch_owners,
@@ -47,7 +47,7 @@
             assert max(max_running.values()) <= bound
             assert load.good_count >= 0.95 * len(load.answers), load.count_failures()
 
-    run(work)
+    run_with_timeout(work)
 
 
 async def _has_answers(load: LoadResults, count: int) -> bool:
@@ -105,4 +105,4 @@
             assert max(max_running.values()) <= bound
             assert load.good_count >= 0.9 * len(load.answers), load.count_failures()
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_chaos.py
+++ b/tests/fleet/test_chaos.py
@@ -13,7 +13,7 @@
 import pytest
 
 from loadtool._chaos import make_layout, print_result, run_chaos
-from loadtool._schedule import make_schedule
+from loadtool._fault_schedule import make_fault_schedule
 
 DURATION_S = 45.0
 # Seeds 1, 2 and 3: a cold engine got more requests than it can run, because the slow start was
@@ -23,8 +23,8 @@
 
 def test_the_same_seed_gives_the_same_schedule() -> None:
     layout = make_layout()
-    assert make_schedule(7, DURATION_S, layout) == make_schedule(7, DURATION_S, layout)
-    assert make_schedule(7, DURATION_S, layout) != make_schedule(8, DURATION_S, layout)
+    assert make_fault_schedule(7, DURATION_S, layout) == make_fault_schedule(7, DURATION_S, layout)
+    assert make_fault_schedule(7, DURATION_S, layout) != make_fault_schedule(8, DURATION_S, layout)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -33,4 +33,4 @@
     print_result(result)
     assert result.broken == []
     # The run is meaningful only if callers got most of their answers in spite of the faults.
-    assert result.ledger.good > 0.8 * result.ledger.requests
+    assert result.answer_log.good_count > 0.8 * result.answer_log.requests
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 from loadtool import Cluster, Node
-from tests.fleet.harness import run, start_fleet, wait_until
-from tests.fleet.load import (
+from tests.fleet.harness import run_with_timeout, start_fleet, wait_until
+from tests.fleet.load_helpers import (
     LoadResults,
     list_engines,
     read_engine_stats,
@@ -61,7 +61,7 @@
             assert fall_over_counts == [0, 0, 0]
             assert max(max_running) <= 6
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_an_engine_that_turns_cold_under_full_load_is_detected(tmp_path: Path) -> None:
@@ -101,4 +101,4 @@
             assert before["fell_over"] == 0
             assert after["fell_over"] <= 2
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -10,7 +10,7 @@
 from loadtool import Caller, Cluster
 from loadtool._caller import Answer
 from loadtool._cluster import Node
-from tests.fleet.harness import make_caller, run, start_fleet, wait_until
+from tests.fleet.harness import make_caller, run_with_timeout, start_fleet, wait_until
 
 PATH = "/booking/bookings"
 BODY = b'{"plot": 7}'
@@ -110,7 +110,7 @@
             check_run_counts(cluster, answers_by_key)
             assert len(cluster.read_runs()) == 3
 
-    run(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
@@ -164,7 +164,7 @@
             await send_to_all_running_instances(cluster, caller, "k", answers_by_key["k"])
             check_run_counts(cluster, answers_by_key)
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_command_is_not_run_again_when_its_target_is_killed(tmp_path: Path) -> None:
@@ -185,7 +185,7 @@
             await send_to_all_running_instances(cluster, caller, "k", answers)
             check_run_counts(cluster, {"k": answers})
 
-    run(work)
+    run_with_timeout(work)
 
 
 async def set_faults_of_running_plain_services(cluster: Cluster, **faults: object) -> None:
@@ -222,7 +222,7 @@
             await send_to_all_running_instances(cluster, caller, "k", answers)
             check_run_counts(cluster, {"k": answers, "other": [other_answer]})
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_same_key_sent_to_two_zones_at_once_runs_once(tmp_path: Path) -> None:
@@ -253,7 +253,7 @@
                 assert query_conflict.code == "idempotency_key_reused", query_conflict
             check_run_counts(cluster, answers_by_key)
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_reserved_keys_work_while_the_platform_is_down(tmp_path: Path) -> None:
@@ -303,7 +303,7 @@
             check_run_counts(cluster, answers_by_key)
             assert cluster.read_runs() == dict.fromkeys(keys[:5], 1)
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_command_outlives_its_callers_deadline(tmp_path: Path) -> None:
@@ -323,7 +323,7 @@
             assert final_answer.replayed
             check_run_counts(cluster, {"k": answers})
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_zone_cut_off_from_the_platform_does_not_run_a_key_of_another_zone(tmp_path: Path) -> None:
@@ -355,4 +355,4 @@
             assert answers[-1].good and answers[-1].replayed, answers
             check_run_counts(cluster, {"k": answers})
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_config.py
+++ b/tests/fleet/test_config.py
@@ -12,8 +12,8 @@
 from loadtool._cluster import HOST, SECRET, SECRET_ENV
 from rhubarbbend.cli import ExitStatus, main
 from rhubarbbend.operators import SCHEMA, OperatorClient
-from tests.fleet.harness import TENGRI, run, start_fleet, wait_until
-from tests.fleet.views import (
+from tests.fleet.harness import TENGRI_DIR, run_with_timeout, start_fleet, wait_until
+from tests.fleet.instance_helpers import (
     fetch_view,
     is_zone_in_service,
     make_operator_client,
@@ -46,7 +46,7 @@
                 return view
 
             changed_file = tmp_path / "changed.toml"
-            text = (TENGRI / "fleet.toml").read_text("utf-8")
+            text = (TENGRI_DIR / "fleet.toml").read_text("utf-8")
             changed_file.write_text(text.replace("bound = 1.25", "bound = 1.5"), "utf-8")
             monkeypatch.setenv(SECRET_ENV, SECRET)
             monkeypatch.setattr(OperatorClient, "show", show_and_lose_race)
@@ -64,7 +64,7 @@
             assert await asyncio.to_thread(main, command) == ExitStatus.DONE
             assert not await is_zone_in_service(first, "almaty-b")
 
-    run(work)
+    run_with_timeout(work)
 
 
 async def _have_all_reached(cluster: Cluster, version: int) -> bool:
@@ -95,7 +95,7 @@
                 await asyncio.to_thread(client.apply_change, "c-2", "berta", 1, ZONE_OUT)
             assert await read_config_version(first) == 2
 
-    run(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize("fault", ["outage", "stale"])
@@ -123,7 +123,7 @@
             assert await read_config_version(restarted) == 2
             assert not await is_zone_in_service(restarted, "almaty-b")
 
-    run(work)
+    run_with_timeout(work)
 
 
 def _add_seed(settings: Path, name: str, peer_port: int) -> None:
@@ -165,4 +165,4 @@
             await wait_until("zone c has the change", has_caught_up, 5.0)
             assert not await is_zone_in_service(partitioned, "almaty-b")
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from loadtool._counters import open_sink
+from loadtool._counter_sink import open_sink
 from rhubarbbend import codes
-from tests.fleet.harness import run, start_fleet, wait_until
+from tests.fleet.harness import run_with_timeout, start_fleet, wait_until
 
 CONTROL_COUNTERS = (
     codes.CONTROL_PEERS,
@@ -26,7 +26,7 @@
 
             async def all_counted() -> bool:
                 counters_of_instances = [
-                    sink.by_instance.get(name, {}) for name in cluster.instances
+                    sink.counters_by_instance.get(name, {}) for name in cluster.instances
                 ]
                 return all(
                     counters.get(kind, 0) > 0
@@ -36,4 +36,4 @@
 
             await wait_until("every instance has sent all control traffic counters", all_counted)
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -10,7 +10,7 @@
 from loadtool import Chat, Cluster
 from loadtool._caller import Answer
 from loadtool._cluster import Node
-from tests.fleet.harness import make_caller, run, start_fleet
+from tests.fleet.harness import make_caller, run_with_timeout, start_fleet
 
 CRASH_TRIGGER = "a word that ends the engine"
 REFUSAL_CODE = "request_crashes_targets"
@@ -88,7 +88,7 @@
             good_count = sum(answer.good for answer in chat_answers)
             assert good_count >= 0.9 * len(chat_answers), f"{good_count} of {len(chat_answers)}"
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_partition_does_not_mark_a_request_as_crashing(tmp_path: Path) -> None:
@@ -122,4 +122,4 @@
             answer = await caller.ask_chat(chat, 10)
             assert answer.good, answer
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_fairness.py
+++ b/tests/fleet/test_fairness.py
@@ -5,8 +5,8 @@
 import statistics
 from pathlib import Path
 
-from tests.fleet.harness import run, start_fleet, wait_until
-from tests.fleet.load import LoadResults, run_load
+from tests.fleet.harness import run_with_timeout, start_fleet, wait_until
+from tests.fleet.load_helpers import LoadResults, run_load
 
 
 async def _has_good_answers(load: LoadResults, count: int) -> bool:
@@ -52,4 +52,4 @@
             assert desk.good_count == len(desk.answers), desk.count_failures()
             assert median_s < 0.5 * surge_median_s
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_operators.py
+++ b/tests/fleet/test_operators.py
@@ -11,8 +11,8 @@
 from loadtool import Node
 from loadtool._cluster import HOST, SECRET, SECRET_ENV
 from rhubarbbend.cli import ExitStatus, main
-from tests.fleet.harness import TENGRI, run, start_fleet, wait_until
-from tests.fleet.views import fetch_view, is_zone_in_service, read_config_version
+from tests.fleet.harness import TENGRI_DIR, run_with_timeout, start_fleet, wait_until
+from tests.fleet.instance_helpers import fetch_view, is_zone_in_service, read_config_version
 
 
 class CommandRunner:
@@ -45,13 +45,13 @@
             node = next(iter(cluster.instances.values()))
             monkeypatch.setenv(SECRET_ENV, SECRET)
             run_operator = CommandRunner(node, capsys)
-            status, output = await run_operator("apply", str(TENGRI), "--yes")
+            status, output = await run_operator("apply", str(TENGRI_DIR), "--yes")
             assert (status, output) == (
                 ExitStatus.DONE,
                 "nothing to change; version 1 is in force\n",
             )
             changed_file = tmp_path / "changed.toml"
-            text = (TENGRI / "fleet.toml").read_text("utf-8").replace("1.25", "1.5")
+            text = (TENGRI_DIR / "fleet.toml").read_text("utf-8").replace("1.25", "1.5")
             changed_file.write_text(text, "utf-8")
             status, output = await run_operator("apply", str(changed_file))
             assert status == ExitStatus.DECLINED and "bound: 1.25 -> 1.5" in output
@@ -63,7 +63,7 @@
             assert status == ExitStatus.DONE and "is out of service already" in output
             status, output = await run_operator("target", "out", "engine-b1")
             assert status == ExitStatus.DONE and "accepted as version 3" in output, output
-            status, output = await run_operator("apply", str(TENGRI), "--yes")
+            status, output = await run_operator("apply", str(TENGRI_DIR), "--yes")
             assert output.startswith("nothing to change"), output
             assert (await run_operator("zone", "in", "almaty-b"))[0] == ExitStatus.DONE
             targets = {view.id: view.in_service for view in await fetch_view(node, "targets")}
@@ -92,4 +92,4 @@
             for path in [*tmp_path.glob("*.log"), *tmp_path.glob("*.err")]:
                 assert SECRET not in path.read_text("utf-8"), f"{path.name} shows the secret"
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -9,8 +9,8 @@
 import pytest
 
 from loadtool import Cluster, Node
-from tests.fleet.harness import run, start_fleet, wait_until
-from tests.fleet.load import (
+from tests.fleet.harness import run_with_timeout, start_fleet, wait_until
+from tests.fleet.load_helpers import (
     LoadResults,
     fetch_owners,
     list_engines,
@@ -82,7 +82,7 @@
             assert slowest_s < 5.5, "a caller was held beyond its deadline"
             assert load.good_count >= 0.75 * len(load.answers), load.count_failures()
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_slots_of_a_killed_instance_are_recovered_and_not_granted_twice(tmp_path: Path) -> None:
@@ -126,4 +126,4 @@
             assert max(max_running.values()) <= ENGINE_SLOTS
             assert recovery_s < 6.0
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -6,7 +6,7 @@
 
 from loadtool import Chat
 from standins._engine import BLOCK_CHARS, CHARS_PER_TOKEN
-from tests.fleet.harness import make_caller, run, start_fleet
+from tests.fleet.harness import make_caller, run_with_timeout, start_fleet
 
 
 def test_chats_and_commands_are_served_end_to_end(tmp_path: Path) -> None:
@@ -29,4 +29,4 @@
             assert replayed_answer.good and replayed_answer.replayed, replayed_answer
             assert cluster.read_runs() == {"k1": 1}
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_stop.py
+++ b/tests/fleet/test_stop.py
@@ -12,8 +12,8 @@
 from loadtool import Caller, Chat, Cluster, Node
 from loadtool._balancer import Balancer
 from rhubarbbend.http import Connection
-from tests.fleet.harness import ZONES, make_caller, run, start_fleet
-from tests.fleet.views import make_operator_client, run_mixed_load
+from tests.fleet.harness import ZONES, make_caller, run_with_timeout, start_fleet
+from tests.fleet.instance_helpers import make_operator_client, run_mixed_load
 
 # How long a stopping instance waits for the balancer to notice; the balancer of this test notices
 # within 0.7 s.
@@ -69,7 +69,7 @@
                 f"{len(load.answers)} answers, {len(runs)} bookings, longest stop {longest_s:.2f} s"
             )
 
-    run(work)
+    run_with_timeout(work)
 
 
 def test_open_connections_get_their_answers_during_a_stop(tmp_path: Path) -> None:
@@ -104,7 +104,7 @@
             assert await wait_for_exit(node, 15.0) == 0
             assert (await make_caller(cluster).look_up("/booking/plots/1", other.address)).good
 
-    run(work)
+    run_with_timeout(work)
 
 
 async def _look_up(connection: Connection, headers: list[tuple[str, str]]) -> tuple[int, str]:
@@ -142,7 +142,7 @@
                 last_request_at > stopped_at + BALANCER_LAG_S
             ), "the engine got no request after the handover"
 
-    run(work)
+    run_with_timeout(work)
 
 
 @pytest.mark.parametrize("fault", ["outage", "lose_answers"])
@@ -175,4 +175,4 @@
             assert await pending_result == ("OutcomeUnknown" if fault == "outage" else "version 2")
             assert await wait_for_exit(node, 10.0) == 0
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_unreachable_owner.py
+++ b/tests/fleet/test_unreachable_owner.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from loadtool import Cluster
-from tests.fleet.harness import run, start_fleet, wait_until
-from tests.fleet.load import (
+from tests.fleet.harness import run_with_timeout, start_fleet, wait_until
+from tests.fleet.load_helpers import (
     list_engines,
     read_engine_stats,
     read_max_running,
@@ -66,4 +66,4 @@
             assert slow_count <= 2 * CALLERS
             assert sum(failure_counts.values()) <= CALLERS
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -10,8 +10,12 @@
 
 from loadtool import Answer, Chat, Cluster
 from loadtool._cluster import Node
-from tests.fleet.harness import ZONES, make_caller, run, start_fleet, wait_until
-from tests.fleet.views import read_last_request_time, run_mixed_load, set_zone_partitioned
+from tests.fleet.harness import ZONES, make_caller, run_with_timeout, start_fleet, wait_until
+from tests.fleet.instance_helpers import (
+    read_last_request_time,
+    run_mixed_load,
+    set_zone_partitioned,
+)
 
 # A target out of service may get new requests for at most this long after the change is accepted.
 LAST_REQUEST_LIMIT_S = 3.0
@@ -84,7 +88,7 @@
                 f"last request {last_delay_s:+.2f} s after acceptance, {len(load.answers)} answers"
             )
 
-    run(work)
+    run_with_timeout(work)
 
 
 async def _has_finished_requests(cluster: Cluster, node: Node) -> bool:
@@ -115,7 +119,7 @@
             assert not load.failed_answers, load.failed_answers[:3]
             print(f"last request {last_delay_s:+.2f} s after the list marked the target as leaving")
 
-    run(work)
+    run_with_timeout(work)
 
 
 async def _send_long_chats(cluster: Cluster) -> list[Answer]:
@@ -160,4 +164,4 @@
             assert last_delay_s <= LAST_REQUEST_LIMIT_S
             assert load.answers
 
-    run(work)
+    run_with_timeout(work)
--- a/tests/loadtool/test_analysis.py
+++ b/tests/loadtool/test_analysis.py
@@ -4,8 +4,8 @@
 
 from loadtool import Answer
 from loadtool._analysis import compute_excesses, compute_reuse, compute_skew, compute_zone_result
-from loadtool._chats import SentRequest
 from loadtool._samples import EngineSample, EngineStats
+from loadtool._workload import SentRequest
 from rhubarbbend.core.configuration import Service
 
 SERVICE = Service("planner", bound=1.25, floor=2)
--- a/tests/loadtool/test_load.py
+++ b/tests/loadtool/test_load.py
@@ -6,9 +6,9 @@
 import random
 import socket
 
-from loadtool._chats import LONG_PAUSE_S, SHORT_PAUSE_S, TIME_SCALE_FACTOR, choose_pause
-from loadtool._counters import open_sink
+from loadtool._counter_sink import open_sink
 from loadtool._deployments import DEPLOYMENTS
+from loadtool._workload import LONG_PAUSE_S, SHORT_PAUSE_S, TIME_SCALE_FACTOR, choose_pause
 from rhubarbbend.cli._declarations import read_declarations
 
 
@@ -38,8 +38,8 @@
             lines = b"rhubarbbend.entry-1.retry.full:2|c\nrhubarbbend.entry-2.retry.full:3|c"
             sender.sendto(lines, ("127.0.0.1", port))
         async with asyncio.timeout(5.0):
-            while not sink.by_instance:
+            while not sink.counters_by_instance:
                 await asyncio.sleep(0.01)
-        return dict(sink.sum_all())
+        return dict(sink.sum_over_instances())
 
     assert asyncio.run(work()) == {"retry.full": 5}
--- a/tests/trace/test_fleet.py
+++ b/tests/trace/test_fleet.py
@@ -10,7 +10,7 @@
 
 from loadtool import Caller, Chat, Cluster
 from loadtool._cluster import SECRET
-from tests.fleet.harness import make_caller, run, start_fleet
+from tests.fleet.harness import make_caller, run_with_timeout, start_fleet
 
 LOAD_S = 3.0
 # Every trace must hold more lines than this. On a slow machine, callers send chats for longer until
@@ -87,7 +87,7 @@
             stops = [cluster.instances[name].process.stop() for name in names[:2]]
             assert await asyncio.gather(*stops) == [0, 0]
 
-    run(work)
+    run_with_timeout(work)
     for name in names:
         path = tmp_path / f"{name}.trace"
         status, output = _replay(path)
