--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -4,6 +4,7 @@
 
 import argparse
 import re
+from pathlib import Path
 
 import attrs
 import pytest
@@ -22,6 +23,31 @@
 MODULE = re.compile(r"python -m ((?:tools|loadtool|standins)[a-z_.]*)")
 LINK = re.compile(r"`((?:rhubarbbend|loadtool|standins|tools|tests|docs|examples)/[\w./-]+)`")
 
+# Where the names on the pages have to stand. This file is left out: it holds invented names.
+SOURCE_DIRS = [
+    "rhubarbbend",
+    "platform",
+    "loadtool",
+    "standins",
+    "tools",
+    "tests",
+    "deploy",
+    "examples",
+]
+SOURCE_SUFFIXES = {".py", ".toml", ".thrift"}
+SOURCE_FILES = ["Makefile", "KNOWN-RED.txt"]
+FENCED_BLOCK = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
+QUOTED = re.compile(r"`([^`]+)`")
+MODULE_FILE = re.compile(r"[\w/]+\.py\b")
+WORD = re.compile(r"\w+")
+# snake_case and UPPER_CASE with an underscore, CamelCase with two humps.
+NAME = re.compile(r"_?[a-z]\w*_\w+|_?[A-Z][A-Z0-9]*_[A-Z0-9_]+|_?(?:[A-Z][a-z0-9]+){2,}|_[a-z]\w*")
+# No source holds these as one word: metrics are exported under a prefix, with `_` for each dot.
+COMPOSED_NAMES = {
+    "rhubarbbend_answer_seconds",
+    *(name.replace(".", "_") for name in codes.list_counters()),
+}
+
 
 def _read(name: str) -> str:
     return (DOCS / name).read_text("utf-8")
@@ -81,3 +107,62 @@
         assert path.is_dir() or path.with_suffix(".py").exists(), module
     missing = [path for path in LINK.findall(text) if not (ROOT / path).exists()]
     assert missing == []
+
+
+def _read_sources() -> tuple[set[str], list[str]]:
+    """Return the words of all sources, and their paths, each with a leading slash."""
+    paths = [ROOT / name for name in SOURCE_FILES]
+    for directory in SOURCE_DIRS:
+        files = (ROOT / directory).rglob("*")
+        paths += [path for path in files if path.suffix in SOURCE_SUFFIXES]
+    paths.remove(Path(__file__).resolve())
+    words: set[str] = set()
+    for path in paths:
+        words.update(WORD.findall(path.read_text("utf-8")))
+    return words, [f"/{path.relative_to(ROOT)}" for path in paths]
+
+
+def _list_missing_names(text: str, words: set[str], paths: list[str]) -> list[str]:
+    """Return the names in backquotes that no source holds."""
+    missing: list[str] = []
+    for quoted in QUOTED.findall(FENCED_BLOCK.sub("", text)):
+        files = MODULE_FILE.findall(quoted)
+        missing += [file for file in files if not any(path.endswith(f"/{file}") for path in paths)]
+        names = [name for name in WORD.findall(MODULE_FILE.sub("", quoted)) if NAME.fullmatch(name)]
+        missing += [name for name in names if name not in words | COMPOSED_NAMES]
+    return missing
+
+
+def test_names_in_backquotes_are_in_the_sources() -> None:
+    """Guards against pages that name what a rename or a removal has taken out of the sources.
+
+    A newcomer searches the tree for such a name and finds nothing.
+    """
+    words, paths = _read_sources()
+    missing = {
+        page.name: names
+        for page in PAGES
+        if (names := _list_missing_names(page.read_text("utf-8"), words, paths))
+    }
+    assert missing == {}
+
+
+@pytest.mark.parametrize(
+    "name",
+    [
+        "invented_name",
+        "InventedName",
+        "INVENTED_NAME",
+        "invented_name()",
+        "CoreOptions.invented_name",
+        "_invented",
+        "core/owners/_invented.py",
+        "core/requests/_owned_target.py",
+        "rhubarbbend.core.invented_name",
+    ],
+)
+def test_an_invented_name_is_missing(name: str) -> None:
+    words, paths = _read_sources()
+    assert _list_missing_names(f"see `{name}` there", words, paths) != []
+    assert _list_missing_names("see `core/owners/_owned_target.py`", words, paths) == []
+    assert _list_missing_names("see `CoreOptions`, `list_counters()`", words, paths) == []
