--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -115,7 +115,7 @@
             backoff_until = record_failure(target.id, now)
             if timed_out and health.is_unreachable(target.id):
                 self._state.note_lost(target, now)
-            self._state.metrics.add(codes.RETRY_CONNECT)
+            self._state.metrics.increment_counter(codes.RETRY_CONNECT)
             self._log(
                 "target_unreachable",
                 request,
@@ -170,7 +170,7 @@
 
     def _log(self, event: str, request: OpenRequest, target: Target, **fields: Any) -> None:
         now = self._clock()
-        self._state.journal.write(event, now, id=request.id, target=target.id, **fields)
+        self._state.event_log.write(event, now, id=request.id, target=target.id, **fields)
 
     def _acquire_retry(self, request: OpenRequest, connection: Connection) -> None:
         instances = len(self._state.list_instances())
@@ -227,7 +227,7 @@
             answer = self._target_protocol.read_answer(response)
             if answer.request == request.id or answer.misdirected:
                 break
-            self._state.metrics.add(codes.WRONG_ID)
+            self._state.metrics.increment_counter(codes.WRONG_ID)
             self._log("stray_answer", request, target, carried=answer.request)
             if not answer.request:
                 raise HttpFailure(SendStage.RESPONSE, "the answer carries no request id")
@@ -241,8 +241,8 @@
         now = self._clock()
         has_peer_counts = request.service.engine is not None
         underestimate = held - round(self._state.loads.estimate(target.id, has_peer_counts, now))
-        self._state.metrics.add(codes.LOAD_REPORTS_IN_ANSWERS)
-        self._state.metrics.add(codes.LOAD_UNDERESTIMATED, max(0, underestimate))
+        self._state.metrics.increment_counter(codes.LOAD_REPORTS_IN_ANSWERS)
+        self._state.metrics.increment_counter(codes.LOAD_UNDERESTIMATED, max(0, underestimate))
         self._state.loads.record_report(target.id, held, now)
 
     async def _receive_next_head(
@@ -374,7 +374,7 @@
         if failure.reason == REASON_TIMEOUT:
             return False
         self._pool.record_dead_idle(connection.address, connection.idle_time_s, self._clock())
-        self._state.metrics.add(codes.IDLE_CONNECTIONS_DEAD)
+        self._state.metrics.increment_counter(codes.IDLE_CONNECTIONS_DEAD)
         self._log("idle_connection_dead", request, target, rested=round(connection.idle_time_s, 3))
         return True
 
--- a/rhubarbbend/gateway/_signal.py
+++ b/rhubarbbend/gateway/_change_notifier.py
@@ -9,14 +9,14 @@
 COALESCE_DELAY_S: Final = 0.15
 
 
-class Signal:
+class ChangeNotifier:
     """Wakes all waiting tasks at each notification."""
 
     def __init__(self) -> None:
         self._event = asyncio.Event()
         self._timer: asyncio.TimerHandle | None = None
 
-    def notify(self) -> None:
+    def notify_all(self) -> None:
         """Wake all tasks that are waiting now."""
         if self._timer is not None:
             self._timer.cancel()
@@ -24,10 +24,10 @@
         event, self._event = self._event, asyncio.Event()
         event.set()
 
-    def notify_soon(self) -> None:
+    def notify_all_soon(self) -> None:
         """Wake all waiting tasks within `COALESCE_DELAY_S` seconds."""
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(COALESCE_DELAY_S, self.notify)
+            self._timer = asyncio.get_running_loop().call_later(COALESCE_DELAY_S, self.notify_all)
 
     async def wait(self, timeout: float) -> None:
         """Wait until the next notification, at most `timeout` seconds."""
--- a/rhubarbbend/gateway/_crash_watch.py
+++ b/rhubarbbend/gateway/_crash_watch.py
@@ -64,13 +64,13 @@
         now = read_clock()
         unreachable = state.health.count_unreachable_since(now - SIMULTANEOUS_LOSS_WINDOW_S)
         if unreachable > 1:
-            state.journal.write(
+            state.event_log.write(
                 "crash_doubted", now, id=request, target=target.id, lost_together=unreachable
             )
             return
         if state.crashes.record_crash(digest, target.id, now):
-            state.metrics.add(codes.SUSPECTS)
-            state.journal.write(
+            state.metrics.increment_counter(codes.SUSPECTS)
+            state.event_log.write(
                 "crash_counted", now, id=request, digest=digest, target=target.id, reason=reason
             )
             await self._peers.tell(Note(crashes=[CrashNote(digest, target.id)]))
--- a/rhubarbbend/gateway/_journal.py
+++ b/rhubarbbend/gateway/_event_log.py
@@ -23,11 +23,12 @@
 LINES_PER_S: Final = 300.0
 
 
-class Journal:
+class EventLog:
     """Writes log lines.
 
-    Invariant: `write` never blocks. Lines that exceed the limits are dropped; `dropped` counts
-    them, and a `lines_dropped` line with their number precedes the next line that is written.
+    Invariant: `write` never blocks. Lines that exceed the limits are dropped; `dropped_count`
+    counts them, and a `lines_dropped` line with their number precedes the next line that is
+    written.
     """
 
     def __init__(self, instance: str, descriptor: int = 1) -> None:
@@ -36,7 +37,7 @@
         self._queue: deque[bytes] = deque()
         self._tokens = MAX_BURST_LINES
         self._refilled_at = 0.0
-        self.dropped = 0
+        self.dropped_count = 0
         self._reported_dropped = 0
         self._is_writer_registered = False
         os.set_blocking(descriptor, False)
@@ -44,11 +45,11 @@
     def write(self, event: str, now: float, **fields: Any) -> None:
         """Write a line about an event; `now` is its time by the event loop's clock."""
         if not self._acquire_token(now):
-            self.dropped += 1
+            self.dropped_count += 1
             return
-        if self.dropped > self._reported_dropped:
-            newly_dropped = self.dropped - self._reported_dropped
-            self._reported_dropped = self.dropped
+        if self.dropped_count > self._reported_dropped:
+            newly_dropped = self.dropped_count - self._reported_dropped
+            self._reported_dropped = self.dropped_count
             self._enqueue("lines_dropped", now, {"count": newly_dropped})
         self._enqueue(event, now, fields)
 
--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -223,18 +223,18 @@
         return bool(self._updater.apply_pages({table: page}, "store"))
 
     def _compute_watch_timeout(self, table: str, now: float) -> float:
-        timings = self._state.timings
+        timeouts = self._state.replication_timeouts
         if self._store_availability.lost_at is not None:
             return 0.0
         if table != self._state.config_table:
-            return timings.table_wait
+            return timeouts.watch_timeout_s
             # An instance that does not know yet whether others wait at it uses the short time-out
             # of a reader. During a longer watch it could not prove that its data is current, so its
             # first listeners would all read the store themselves.
         may_read = not self.instance_list.has_converged or self._selector.is_reader(
             self._state.instances, now
         )
-        return timings.reader_wait if may_read else timings.table_wait
+        return timeouts.reader_watch_timeout_s if may_read else timeouts.watch_timeout_s
 
     def _record_store_answer(self, now: float) -> None:
         outage = self._store_availability.record_answer(now)
@@ -245,7 +245,7 @@
 
     def _record_store_failure(self, table: str, error: StoreError) -> None:
         now = read_clock()
-        self._state.metrics.add(codes.PLATFORM_ERRORS)
+        self._state.metrics.increment_counter(codes.PLATFORM_ERRORS)
         if self._store_availability.record_failure(now):
             self._log("store_lost", table=table, reason=str(error))
             # Calls that wait on other connections may have been lost in the same failure.
@@ -285,7 +285,7 @@
         now = read_clock()
         if not self._reader_queried:
             self._reader_queried = True
-            self._state.changed.notify()
+            self._state.changed.notify_all()
         if reply is None and is_starting:
             # The reader may be starting too; meanwhile this instance reads the store.
             await asyncio.sleep(STARTUP_QUERY_INTERVAL_S)
@@ -298,10 +298,10 @@
         else:
             self._selector.record_answer(reader)
             self._apply_reply(reply, queried_at, now)
-        max_age = self._state.timings.max_age
-        if self._state.compute_staleness(now) > max_age:
+        max_staleness_s = self._state.replication_timeouts.max_staleness_s
+        if self._state.compute_staleness(now) > max_staleness_s:
             self._start_reading_store("reader's data is too old")
-        elif reply is not None and reply.staleness <= max_age:
+        elif reply is not None and reply.staleness <= max_staleness_s:
             self._stop_reading_store(reader)
         return reply
 
@@ -309,7 +309,7 @@
         """Apply the reply of an instance, and update how current this instance's data is."""
         travel_time = max(0.0, now - queried_at - reply.held_s)
         up_to_date_at = now - reply.staleness - travel_time
-        if now - up_to_date_at <= self._state.timings.max_age:
+        if now - up_to_date_at <= self._state.replication_timeouts.max_staleness_s:
             # The sender's data is current, so the store answers it. Registrations that lapsed while
             # the store was unreachable do not mean that their targets are gone.
             self._record_store_answer(now)
@@ -329,7 +329,7 @@
     def _start_reading_store(self, reason: str) -> None:
         if not self._reads_directly.is_set():
             self._reads_directly.set()
-            self._state.metrics.add(codes.DIRECT_STORE_READS_STARTED)
+            self._state.metrics.increment_counter(codes.DIRECT_STORE_READS_STARTED)
             self._log(
                 "reads_store",
                 reason=reason,
@@ -401,4 +401,4 @@
                 self._log("target_gone", target=target.id)
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._state.journal.write(event, read_clock(), **fields)
+        self._state.event_log.write(event, read_clock(), **fields)
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -16,9 +16,9 @@
 from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._attempts import AttemptRunner
 from rhubarbbend.gateway._crash_watch import CrashWatch
+from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._follower import StateFollower
 from rhubarbbend.gateway._interfaces import Adapter
-from rhubarbbend.gateway._journal import Journal
 from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._metrics import CONTENT_TYPE
 from rhubarbbend.gateway._peers import PeerClient, PeerServer
@@ -64,7 +64,7 @@
         self,
         settings: GatewaySettings,
         adapter: Adapter,
-        journal: Journal,
+        event_log: EventLog,
         read_settings: SettingsReader,
         listener: socket | None = None,
     ) -> None:
@@ -72,9 +72,9 @@
         # Already listening since before the program was loaded; None if that was not possible.
         self._listener = listener
         self._read_settings = read_settings
-        self.state = State(settings, adapter.decoder.tables, journal)
+        self.state = State(settings, adapter.decoder.tables, event_log)
         self._adapter = adapter
-        self._journal = journal
+        self._event_log = event_log
         self._pool = ConnectionPool(TARGET_IDLE_TIMEOUT_S)
         self._peer_pool = ConnectionPool(TARGET_IDLE_TIMEOUT_S)
         attempts = AttemptRunner(self.state, self._pool, adapter.targets, read_clock)
@@ -150,11 +150,11 @@
     def _handle_task_done(self, task: asyncio.Task[None]) -> None:
         self._background.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.state.metrics.add(codes.INTERNAL_ERRORS)
+            self.state.metrics.increment_counter(codes.INTERNAL_ERRORS)
             self._log("internal_error", reason=repr(task.exception()))
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._journal.write(event, read_clock(), **fields)
+        self._event_log.write(event, read_clock(), **fields)
 
     # Endpoints of the platform.
 
@@ -170,19 +170,19 @@
     def _register_gauges(self) -> None:
         state = self.state
         metrics = state.metrics
-        metrics.set_gauge("open_requests", lambda: self._requests.open)
-        metrics.set_gauge("targets", state.registry.count)
-        metrics.set_gauge("instances", lambda: len(state.list_instances()))
-        metrics.set_gauge(
+        metrics.register_gauge("open_requests", lambda: self._requests.open)
+        metrics.register_gauge("targets", state.registry.count)
+        metrics.register_gauge("instances", lambda: len(state.list_instances()))
+        metrics.register_gauge(
             "instances_heard", lambda: state.loads.peer_counts.count_instances(read_clock())
         )
-        metrics.set_gauge("ready", lambda: float(state.ready))
-        metrics.set_gauge("store_reached", lambda: float(self._follower.is_store_reachable))
-        metrics.set_gauge("reads_store", lambda: float(self._follower.reads_store))
-        metrics.set_gauge(
+        metrics.register_gauge("ready", lambda: float(state.ready))
+        metrics.register_gauge("store_reached", lambda: float(self._follower.is_store_reachable))
+        metrics.register_gauge("reads_store", lambda: float(self._follower.reads_store))
+        metrics.register_gauge(
             "config_version", lambda: -1 if state.catalog is None else state.catalog.version
         )
-        metrics.set_gauge("log_lines_dropped", lambda: self._journal.dropped)
+        metrics.register_gauge("log_lines_dropped", lambda: self._event_log.dropped_count)
 
     # Housekeeping.
 
@@ -200,7 +200,7 @@
             pause = max(now - before, boot - before_boot) - PAUSE_CHECK_INTERVAL_S
             before, before_boot = now, boot
             if pause > MIN_PAUSE_S:
-                self.state.metrics.add(codes.PAUSES)
+                self.state.metrics.increment_counter(codes.PAUSES)
                 self._log("paused", seconds=round(pause, 3))
                 self._pool.close_all_idle()
                 self._peer_pool.close_all_idle()
@@ -302,7 +302,7 @@
                 self._log("callers_slow")
         self._follower.stop()
         self._log("stopped", cut=unfinished, after=round(read_clock() - stop_began_at, 3))
-        self._journal.close()
+        self._event_log.close()
         ignore_late_stop(asyncio.get_running_loop())
 
 
@@ -321,6 +321,6 @@
 
     `listener`, if given, is a socket that already listens on the callers' address.
     """
-    journal = Journal(settings.instance)
-    asyncio.run(Instance(settings, adapter, journal, read_settings, listener).run())
+    event_log = EventLog(settings.instance)
+    asyncio.run(Instance(settings, adapter, event_log, read_settings, listener).run())
     return 0
--- a/rhubarbbend/gateway/_instance_list.py
+++ b/rhubarbbend/gateway/_instance_list.py
@@ -149,4 +149,4 @@
             self._log("row_lapsed", row=row.key)
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._state.journal.write(event, read_clock(), **fields)
+        self._state.event_log.write(event, read_clock(), **fields)
--- a/rhubarbbend/gateway/_intake.py
+++ b/rhubarbbend/gateway/_intake.py
@@ -46,7 +46,7 @@
         if self._state.has_config_and_targets:
             self._state.opened.set()
         if count:
-            self._state.changed.notify()
+            self._state.changed.notify_all()
         return count
 
     def _apply_instance_changes(self, changes: list[RowChange]) -> None:
@@ -80,16 +80,16 @@
                 self._state.registry.return_zone_to_service(change.zone, now)
             self._log("zone_out" if change.out else "zone_in", zone=change.zone, source=source)
         elif isinstance(change, Unreadable):
-            self._state.metrics.add(codes.CONFIG_UNREADABLE)
+            self._state.metrics.increment_counter(codes.CONFIG_UNREADABLE)
             self._log("row_unreadable", row=change.row, reason=change.reason, source=source)
 
     def _apply_catalog(self, change: CatalogRead, source: str) -> None:
         current = self._state.catalog
         if current is not None and change.catalog.version <= current.version:
-            self._state.metrics.add(codes.CONFIG_STALE)
+            self._state.metrics.increment_counter(codes.CONFIG_STALE)
             return
         self._state.catalog = change.catalog
-        self._state.metrics.add(codes.CONFIG_APPLIED)
+        self._state.metrics.increment_counter(codes.CONFIG_APPLIED)
         self._log(
             "config_applied",
             version=change.catalog.version,
@@ -114,4 +114,4 @@
         )
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._state.journal.write(event, read_clock(), **fields)
+        self._state.event_log.write(event, read_clock(), **fields)
--- a/rhubarbbend/gateway/_listening.py
+++ b/rhubarbbend/gateway/_listening.py
@@ -85,7 +85,7 @@
             probe.add_done_callback(lambda _: self._probes.pop(target.id))
 
     async def _run_probe(self, target: Target) -> None:
-        self._state.metrics.add(codes.SILENT_TARGETS_PROBED)
+        self._state.metrics.increment_counter(codes.SILENT_TARGETS_PROBED)
         try:
             connection = await Connection.open(target.address, self._connect_timeout)
         except HttpFailure as failure:
@@ -97,7 +97,7 @@
             self._state.health.record_unreachable(target.id, now)
             self._state.note_lost(target, now)
             self._pool.close_idle_to(target.address)
-            self._state.journal.write(
+            self._state.event_log.write(
                 "silent_target_lost", now, target=target.id, reason=failure.reason
             )
             return
--- a/rhubarbbend/gateway/_load_telling.py
+++ b/rhubarbbend/gateway/_load_telling.py
@@ -149,12 +149,12 @@
         try:
             update = msgspec.msgpack.decode(data, type=InFlightUpdate)
         except msgspec.MsgspecError:
-            self._state.metrics.add(codes.PEER_FRAMES_BAD)
+            self._state.metrics.increment_counter(codes.PEER_FRAMES_BAD)
             return
         now = read_clock()
         row = self._state.instances.get(update.sender)
         if row is None or update.sender == self._name:
-            self._state.metrics.add(codes.PEER_COUNTS_REJECTED)
+            self._state.metrics.increment_counter(codes.PEER_COUNTS_REJECTED)
         elif not row.may_send_from(*addr[:2]):
             self._reject(update, addr, "not sent from the sender's address", now)
         elif not self._is_plausible(update):
@@ -185,11 +185,11 @@
         return is_plausible(update, instances, max_requests)
 
     def _reject(self, update: InFlightUpdate, addr: Address, reason: str, now: float) -> None:
-        self._state.metrics.add(codes.PEER_COUNTS_REJECTED)
+        self._state.metrics.increment_counter(codes.PEER_COUNTS_REJECTED)
         if update.sender not in self._rejected:
             self._rejected.add(update.sender)
             origin = f"{addr[0]}:{addr[1]}"
-            self._state.journal.write(
+            self._state.event_log.write(
                 "counts_rejected", now, sender=update.sender, origin=origin, reason=reason
             )
 
@@ -199,4 +199,4 @@
         Nothing else is needed: counts are sent to the receiver again, and the other instances use
         that instance's last counts.
         """
-        self._state.metrics.add(codes.PEER_DROPPED)
+        self._state.metrics.increment_counter(codes.PEER_DROPPED)
--- a/rhubarbbend/gateway/_metrics.py
+++ b/rhubarbbend/gateway/_metrics.py
@@ -47,11 +47,11 @@
         self._histograms: dict[tuple[str, str], Histogram] = {}
         self._gauges: dict[str, Callable[[], float]] = {}
 
-    def add(self, name: str, by: int = 1) -> None:
+    def increment_counter(self, name: str, by: int = 1) -> None:
         """Add `by` to a counter."""
         self._counters[name] = self._counters.get(name, 0) + by
 
-    def read(self, name: str) -> int:
+    def read_counter(self, name: str) -> int:
         """Return the value of a counter."""
         return self._counters.get(name, 0)
 
@@ -63,7 +63,7 @@
             histogram = self._histograms[key] = Histogram()
         histogram.add(seconds)
 
-    def set_gauge(self, name: str, read: Callable[[], float]) -> None:
+    def register_gauge(self, name: str, read: Callable[[], float]) -> None:
         """Register the function that returns the current value of a gauge."""
         self._gauges[name] = read
 
--- a/rhubarbbend/gateway/_peers.py
+++ b/rhubarbbend/gateway/_peers.py
@@ -107,13 +107,13 @@
             elif exchange.target == JOIN_PATH:
                 notice = msgspec.msgpack.decode(exchange.body, type=JoinNotice)
                 self._state.add_instance(notice.instance, notice.row)
-                self._state.instance_joined.notify_soon()
+                self._state.instance_joined.notify_all_soon()
                 locations = self._state.placement.prompt_locations.list_recent(read_clock())
                 _respond(exchange, msgspec.msgpack.encode(Note(locations)))
             else:
                 exchange.respond(404, [], b"")
         except msgspec.MsgspecError as error:
-            self._state.journal.write("peer_unreadable", read_clock(), reason=str(error))
+            self._state.event_log.write("peer_unreadable", read_clock(), reason=str(error))
             exchange.respond(400, [], b"")
 
     async def _serve_changes(self, exchange: Exchange, query: ChangesQuery) -> None:
@@ -130,7 +130,9 @@
             remaining = query.max_wait - (now - received_at)
             if not lacks_table:
                 # The sender acts on the staleness, so it must learn at once that it is too high.
-                remaining = min(remaining, self._state.timings.max_age - staleness)
+                remaining = min(
+                    remaining, self._state.replication_timeouts.max_staleness_s - staleness
+                )
             if pages or updates.items or remaining <= 0.0:
                 break
             await self._state.changed.wait(remaining)
@@ -198,7 +200,7 @@
         try:
             return msgspec.msgpack.decode(body, type=ChangesReply)
         except msgspec.MsgspecError as error:
-            self._state.journal.write("peer_unreadable", read_clock(), reason=str(error))
+            self._state.event_log.write("peer_unreadable", read_clock(), reason=str(error))
             return None
 
     async def tell(self, update: Note) -> None:
@@ -261,14 +263,14 @@
             return None
         if peer in self._silent:
             self._silent.discard(peer)
-            self._state.journal.write("peer_regained", read_clock(), peer=f"{peer[0]}:{peer[1]}")
+            self._state.event_log.write("peer_regained", read_clock(), peer=f"{peer[0]}:{peer[1]}")
         return data if response.status == 200 else None
 
     def _mark_silent(self, peer: Address, reason: str) -> None:
         """Log a peer that does not reply, once until it replies again."""
         if peer not in self._silent:
             self._silent.add(peer)
-            self._state.journal.write(
+            self._state.event_log.write(
                 "peer_silent", read_clock(), peer=f"{peer[0]}:{peer[1]}", reason=reason
             )
 
--- a/rhubarbbend/gateway/_timings.py
+++ b/rhubarbbend/gateway/_replication_timeouts.py
@@ -20,8 +20,8 @@
 # which takes up to 0.4 s; applying the change takes a fraction of that.
 MAX_AGE_FRACTION: Final = 0.65
 # Fraction of the bound for which the zone's reader, the instance from which others get changes,
-# waits for a change at the store. It has to prove to them within `max_age` that the store still
-# answers it.
+# waits for a change at the store. It has to prove to them within `max_staleness_s` that the store
+# still answers it.
 READER_WAIT_FRACTION: Final = 0.35
 # A target whose registration expired while the store was unavailable may have left. It is used for
 # this fraction of `drain_time`, the time for which a leaving target continues to serve.
@@ -34,25 +34,25 @@
 MAX_RESPONSE_AGE_FACTOR: Final = 2.5
 
 
-class Timings(msgspec.Struct, frozen=True):
+class ReplicationTimeouts(msgspec.Struct, frozen=True):
     """Time-outs for following the tables of the store, in seconds.
 
-    `max_age` is the longest time for which it may be unknown whether the store holds anything
-    newer. `table_wait` is how long a call to the store waits for changes; its return also shows
-    that the connection still works, since one connection can become silent for good while others
-    work. `reader_wait` replaces it for the configuration table at the zone's reader, the instance
-    from which other instances of the zone get changes.
+    `max_staleness_s` is the longest time for which it may be unknown whether the store holds
+    anything newer. `watch_timeout_s` is how long a call to the store waits for changes; its return
+    also shows that the connection still works, since one connection can become silent for good
+    while others work. `reader_watch_timeout_s` replaces it for the configuration table at the
+    zone's reader, the instance from which other instances of the zone get changes.
     """
 
-    max_age: float
-    table_wait: float
-    reader_wait: float
+    max_staleness_s: float
+    watch_timeout_s: float
+    reader_watch_timeout_s: float
 
 
-def derive_timings(settings: GatewaySettings) -> Timings:
+def derive_replication_timeouts(settings: GatewaySettings) -> ReplicationTimeouts:
     """Return the time-outs for following the tables of the store."""
     bound = min(settings.config_time, settings.drain_time)
-    return Timings(MAX_AGE_FRACTION * bound, bound, READER_WAIT_FRACTION * bound)
+    return ReplicationTimeouts(MAX_AGE_FRACTION * bound, bound, READER_WAIT_FRACTION * bound)
 
 
 def derive_directory_options(settings: GatewaySettings) -> DirectoryOptions:
--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_serving.py
@@ -63,7 +63,7 @@
         """Serve one request; this is the handler of the HTTP server for callers."""
         self.open += 1
         now = self._clock()
-        self._state.metrics.add(codes.REQUESTS)
+        self._state.metrics.increment_counter(codes.REQUESTS)
         try:
             if not self._state.opened.is_set():
                 await self._wait_until_opened(exchange, now)
@@ -78,10 +78,10 @@
 
     def _handle_internal_error(self, exchange: Exchange, error: Exception) -> None:
         """End a request after an exception in this program; the request may have run."""
-        self._state.metrics.add(codes.INTERNAL_ERRORS)
+        self._state.metrics.increment_counter(codes.INTERNAL_ERRORS)
         reason = "".join(traceback.format_exception(error)[-3:])
         request_id = self._caller_protocol.read_id(exchange)
-        self._state.journal.write("internal_error", self._clock(), id=request_id, reason=reason)
+        self._state.event_log.write("internal_error", self._clock(), id=request_id, reason=reason)
         if exchange.started:
             exchange.abort()
         else:
@@ -107,11 +107,11 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self._state.opened.wait()
-        self._state.metrics.add(codes.WAITED_FOR_START)
+        self._state.metrics.increment_counter(codes.WAITED_FOR_START)
         is_gone = exchange.closed.is_set()
         if is_gone:
-            self._state.metrics.add(codes.CALLER_GONE)
-        self._state.journal.write(
+            self._state.metrics.increment_counter(codes.CALLER_GONE)
+        self._state.event_log.write(
             "waited_for_start",
             self._clock(),
             id=self._caller_protocol.read_id(exchange),
@@ -186,7 +186,7 @@
             # finish, since it could otherwise be partly executed.
             request.exchange.on_closed = task.cancel
         elif await _is_disconnected(request.exchange):
-            self._state.metrics.add(codes.CALLER_GONE)
+            self._state.metrics.increment_counter(codes.CALLER_GONE)
             self._log_end(request, "caller_gone", 0)
             return
         try:
@@ -198,7 +198,7 @@
             if not request.exchange.closed.is_set():
                 raise
             task.uncancel()
-            self._state.metrics.add(codes.CALLER_GONE)
+            self._state.metrics.increment_counter(codes.CALLER_GONE)
             self._log_end(request, "caller_gone", 0)
 
     async def _try_targets(self, request: OpenRequest) -> None:
@@ -217,7 +217,7 @@
                 request.rejection_counts = dict(self._state.placement.last_rejections)
                 self._finish_failed(request, self._select_refusal(request.rejection_counts))
                 return
-            self._state.metrics.add(f"routed.{choice.reason.value}")
+            self._state.metrics.increment_counter(f"routed.{choice.reason.value}")
             request.excluded.add(choice.target.id)
             try:
                 outcome = await self._attempts.run(request, choice)
@@ -242,7 +242,7 @@
         step = decide_step(request.route, outcome, request.progress)
         if step.retry:
             if outcome is not AttemptOutcome.UNREACHED:
-                self._state.metrics.add(f"retry.{outcome.value}")
+                self._state.metrics.increment_counter(f"retry.{outcome.value}")
             return True
         if step.code is None:
             self._finish_answered(request, outcome)
@@ -254,7 +254,7 @@
         if not request.progress.started and request.fallback_answer is not None:
             send_answer(request, request.fallback_answer)
         now = self._clock()
-        self._state.metrics.add(codes.ANSWERS)
+        self._state.metrics.increment_counter(codes.ANSWERS)
         self._state.metrics.observe("answer", request.route.kind.value, now - request.arrived_at)
         status = 0 if request.answer is None else request.answer.status
         self._log_end(
@@ -277,7 +277,7 @@
         if request.progress.started:
             # Ending the message normally would make the partial answer look complete.
             request.exchange.abort_after_flush()
-            self._state.metrics.add(codes.ANSWERS_CUT)
+            self._state.metrics.increment_counter(codes.ANSWERS_CUT)
             self._log_end(request, f"cut: {code.name}", 0)
             return
         if request.fallback_answer is not None:
@@ -296,7 +296,7 @@
         )
         retry_after *= self._state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
         self._write_error(request.exchange, request.id, code, verdict, retry_after)
-        self._state.metrics.add(f"refused.{code.name}")
+        self._state.metrics.increment_counter(f"refused.{code.name}")
         self._log_end(request, f"refused: {code.name}", code.status, verdict, retry_after)
 
     def _reject(
@@ -305,8 +305,8 @@
         """Refuse a request that is invalid, or for which there is no route, account or service."""
         retry_after = code.retry_after * self._state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
         self._write_error(exchange, request_id, code, Verdict.NOT_RUN, retry_after)
-        self._state.metrics.add(f"refused.{code.name}")
-        self._state.journal.write(
+        self._state.metrics.increment_counter(f"refused.{code.name}")
+        self._state.event_log.write(
             "rejected",
             now,
             id=request_id,
@@ -339,7 +339,7 @@
     ) -> None:
         now = self._clock()
         target = request.attempt_target
-        self._state.journal.write(
+        self._state.event_log.write(
             "ended",
             now,
             id=request.id,
--- a/rhubarbbend/gateway/_state.py
+++ b/rhubarbbend/gateway/_state.py
@@ -28,15 +28,15 @@
 )
 from rhubarbbend.core.readers import InstanceRow, PeerUpdateLog
 from rhubarbbend.core.shares import ColdTargetShare, RetryBudgetShare
-from rhubarbbend.gateway._journal import Journal
+from rhubarbbend.gateway._change_notifier import ChangeNotifier
+from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._metrics import Metrics
-from rhubarbbend.gateway._settings import Address, GatewaySettings
-from rhubarbbend.gateway._signal import Signal
-from rhubarbbend.gateway._timings import (
+from rhubarbbend.gateway._replication_timeouts import (
     derive_directory_options,
+    derive_replication_timeouts,
     derive_source_options,
-    derive_timings,
 )
+from rhubarbbend.gateway._settings import Address, GatewaySettings
 
 # The table in which instances publish their addresses.
 INSTANCE_TABLE: Final = "instances"
@@ -78,16 +78,16 @@
     """What one instance knows, and the trackers of its own work."""
 
     def __init__(
-        self, settings: GatewaySettings, tables: tuple[str, ...], journal: Journal
+        self, settings: GatewaySettings, tables: tuple[str, ...], event_log: EventLog
     ) -> None:
         self.settings = settings
-        self.journal = journal
+        self.event_log = event_log
         self.metrics = Metrics()
         self.random = random.Random()
         self.mirror = Mirror((*tables, INSTANCE_TABLE))
         self.config_table = tables[0]
         self.catalog: Catalog | None = None
-        self.timings = derive_timings(settings)
+        self.replication_timeouts = derive_replication_timeouts(settings)
         self.registry = TargetRegistry(derive_directory_options(settings))
         self.loads = LoadTracker()
         self.health = HealthTracker()
@@ -105,9 +105,9 @@
         # The latest time at which this instance's data is known to have matched the store.
         self.up_to_date_at = -math.inf
         # Notified when something has changed that other tasks or instances may wait for.
-        self.changed = Signal()
+        self.changed = ChangeNotifier()
         # Notified when instances have joined that may be missing from the list as last read.
-        self.instance_joined = Signal()
+        self.instance_joined = ChangeNotifier()
         self.stopping = False
         self.started_at = 0.0
         # Set once callers can be served for the first time.
@@ -118,7 +118,7 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply new limits. What has already been counted towards them stays counted."""
         self.settings = settings
-        self.timings = derive_timings(settings)
+        self.replication_timeouts = derive_replication_timeouts(settings)
         self.registry.set_options(derive_directory_options(settings))
         self.cold_target_share.set_limit(settings.cold_overshoot, settings.cold_slack)
         self.placement.set_options(_make_options(settings))
@@ -202,7 +202,7 @@
         if not update.locations and not update.crashes:
             return
         self.peer_updates.add(Note(update.locations, update.crashes, received_at=now))
-        self.changed.notify_soon()
+        self.changed.notify_all_soon()
 
     def note_lost(self, target: Target, now: float) -> None:
         """Mark the whole zone of an unreachable target suspect, if it is not this instance's zone.
@@ -213,8 +213,8 @@
             return
         doubted = self.health.mark_zone_suspect(self.registry.list_others_in_zone(target), now)
         if doubted:
-            self.metrics.add(codes.ZONES_SUSPECTED)
-            self.journal.write(
+            self.metrics.increment_counter(codes.ZONES_SUSPECTED)
+            self.event_log.write(
                 "zone_doubted", now, zone=target.zone, target=target.id, doubted=len(doubted)
             )
 
--- a/rhubarbbend/http/_connection.py
+++ b/rhubarbbend/http/_connection.py
@@ -109,7 +109,7 @@
         return self._protocol.longest_receive_gap_s
 
     def reset_longest_receive_gap(self) -> None:
-        """Reset `longest_pause`, so that it covers only what follows."""
+        """Reset `longest_receive_gap_s`, so that it covers only what follows."""
         self._protocol.longest_receive_gap_s = 0.0
 
     @property
--- a/rhubarbbend/storage/_http.py
+++ b/rhubarbbend/storage/_http.py
@@ -1,4 +1,4 @@
-"""A platform client over HTTP and JSON, the protocol that `standins/platform.py` implements."""
+"""A platform client over HTTP and JSON, the protocol that `standins/_platform.py` implements."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -11,9 +11,9 @@
 from rhubarbbend.core.mirror import MirroredRow, TablePage
 from rhubarbbend.core.readers import InstanceRow, PeerUpdatePage, ReaderSelector
 from rhubarbbend.gateway import _instance_list
+from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._follower import StateFollower
 from rhubarbbend.gateway._interfaces import StateChange, StateDecoder
-from rhubarbbend.gateway._journal import Journal
 from rhubarbbend.gateway._peers import ChangesReply, PeerClient
 from rhubarbbend.gateway._settings import GatewaySettings
 from rhubarbbend.gateway._state import State
@@ -100,7 +100,7 @@
 def make_follower(store: RowStore) -> tuple[State, StateFollower]:
     address = ("127.0.0.1", 1)
     settings = GatewaySettings("front-0", "zone-a", address, address, address)
-    state = State(settings, TABLES, Journal("front-0", descriptor=2))
+    state = State(settings, TABLES, EventLog("front-0", descriptor=2))
     selector = ReaderSelector("front-0", "zone-a")
     peers = PeerClient(state, ConnectionPool(1.0), selector)
     return state, StateFollower(state, store, EmptyDecoder(), peers, selector)
@@ -127,7 +127,7 @@
     # target is gone.
     async def work(state: State, store: ScriptedStore) -> None:
         store.silent_watches.add("targets")
-        await asyncio.sleep(state.timings.table_wait)
+        await asyncio.sleep(state.replication_timeouts.watch_timeout_s)
         row = MirroredRow("target-0", b"leaving", 7)
         store.pages["targets"] = TablePage([row], 7, True)
 
@@ -148,7 +148,7 @@
         for number in range(2):
             row = InstanceRow("zone-a", "127.0.0.1", 1)
             state.add_instance(f"front-{number + 1}", row)
-            state.instance_joined.notify()
+            state.instance_joined.notify_all()
             await asyncio.sleep(0.2)
         value = b'{"zone":"zone-a","host":"127.0.0.1","port":1}'
         rows = [MirroredRow(f"front-{number}", value, 3) for number in range(6)]
@@ -230,7 +230,7 @@
     async def work(state: State, store: ScriptedStore) -> None:
         store.pages["instances"] = make_instance_page(7, "front-0", "front-8", "front-9")
         store.renewed.add("front-9")
-        state.instance_joined.notify()
+        state.instance_joined.notify_all()
         await wait_until("both are judged", lambda: has_removed(store, 2), 2.0)
         assert store.removed[:2] == [("front-8", 7), ("front-9", 7)]
         assert store.closures == 0
--- a/tests/gateway/test_load_telling.py
+++ b/tests/gateway/test_load_telling.py
@@ -10,7 +10,7 @@
 from rhubarbbend.core.mirror import TablePage
 from rhubarbbend.core.placement import CountScope, InFlightUpdate, compute_target_hash
 from rhubarbbend.core.readers import InstanceRow, ReaderSelector
-from rhubarbbend.gateway._journal import Journal
+from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._settings import GatewaySettings
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State
@@ -24,7 +24,7 @@
     """Return the state and protocol of an instance that knows a large fleet."""
     address = ("127.0.0.1", 1)
     settings = GatewaySettings("front-0", "zone-0", address, address, address)
-    state = State(settings, ("config", "targets"), Journal("front-0", descriptor=2))
+    state = State(settings, ("config", "targets"), EventLog("front-0", descriptor=2))
     state.mirror.merge({INSTANCE_TABLE: TablePage([], 1, True)})
     for number in range(FLEET_SIZE):
         state.add_instance(f"front-{number}", InstanceRow(f"zone-{number}", "10.0.0.9", number))
@@ -62,7 +62,7 @@
         )
         protocol.datagram_received(msgspec.msgpack.encode(update), (host, 7))
         assert state.loads.estimate("engine", True, 0.0) == (count if is_accepted else 0)
-        assert state.metrics.read(codes.PEER_COUNTS_REJECTED) == (0 if is_accepted else 1)
+        assert state.metrics.read_counter(codes.PEER_COUNTS_REJECTED) == (0 if is_accepted else 1)
 
     run(work)
 
--- a/tests/gateway/test_timings.py
+++ b/tests/gateway/test_replication_timeouts.py
@@ -6,10 +6,10 @@
 import pytest
 
 from rhubarbbend.gateway import GatewaySettings
-from rhubarbbend.gateway._timings import (
+from rhubarbbend.gateway._replication_timeouts import (
     derive_directory_options,
+    derive_replication_timeouts,
     derive_source_options,
-    derive_timings,
 )
 
 SETTINGS = GatewaySettings("i", "z", ("h", 1), ("h", 2), ("h", 3))
@@ -28,14 +28,14 @@
     target that has left.
     """
     settings = msgspec.structs.replace(SETTINGS, drain_time=drain, config_time=config)
-    timings = derive_timings(settings)
+    timeouts = derive_replication_timeouts(settings)
     bound = min(drain, config)
-    assert timings.max_age <= 0.7 * bound
-    assert timings.table_wait <= bound
-    assert timings.reader_wait < timings.max_age
+    assert timeouts.max_staleness_s <= 0.7 * bound
+    assert timeouts.watch_timeout_s <= bound
+    assert timeouts.reader_watch_timeout_s < timeouts.max_staleness_s
     if bound >= 1.5:
-        assert timings.reader_wait + SLOW_STORE_ANSWER_S <= timings.max_age
-        assert timings.max_age + SLOW_STORE_ANSWER_S < bound
+        assert timeouts.reader_watch_timeout_s + SLOW_STORE_ANSWER_S <= timeouts.max_staleness_s
+        assert timeouts.max_staleness_s + SLOW_STORE_ANSWER_S < bound
     assert derive_directory_options(settings).missing_registration_grace_s < drain
 
 
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -9,7 +9,7 @@
 from tests.gateway.harness import Fleet, run, start_fleet
 
 # How long after its start an instance lets callers wait for its first configuration.
-START_WAIT_S = 0.8
+STARTUP_WAIT_S = 0.8
 
 
 async def ask_on_first_connection(fleet: Fleet) -> int:
@@ -56,7 +56,7 @@
             await fleet.set_store(silent=True)
             await restart_instance(fleet)
             assert await ask_on_first_connection(fleet) == 503
-            await asyncio.sleep(START_WAIT_S)
+            await asyncio.sleep(STARTUP_WAIT_S)
             asked_at = time.monotonic()
             assert await ask_on_first_connection(fleet) == 503
             assert time.monotonic() - asked_at < 0.1
