--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -15,7 +15,7 @@
 from rhubarbbend.core.directory import Target
 from rhubarbbend.core.placement import Choice
 from rhubarbbend.gateway._interfaces import TargetAnswer, TargetOrder, TargetProtocol
-from rhubarbbend.gateway._listening import StreamTimeoutPolicy, TargetLivenessMonitor
+from rhubarbbend.gateway._liveness import StreamTimeoutPolicy, TargetLivenessMonitor
 from rhubarbbend.gateway._requests import BufferedAnswer, OpenRequest
 from rhubarbbend.gateway._state import Clock, State, read_clock
 from rhubarbbend.http import (
@@ -74,7 +74,9 @@
         self._liveness = TargetLivenessMonitor(state, pool, CONNECT_TIMEOUT_S, clock)
         # Called when a target closed the connection of a request before answering it; set by the
         # instance.
-        self.crash_listener: Callable[[OpenRequest, Target], None] = lambda request, target: None
+        self.on_broken_connection: Callable[[OpenRequest, Target], None] = (
+            lambda request, target: None
+        )
 
     async def run(self, request: OpenRequest, choice: Choice) -> AttemptOutcome:
         """Send a request to the chosen target and return how the attempt ended.
@@ -357,7 +359,7 @@
         if failure.stage is SendStage.CONNECT:
             return AttemptOutcome.UNREACHED
         if failure.stage is SendStage.SENT and failure.reason != REASON_TIMEOUT:
-            self.crash_listener(request, target)
+            self.on_broken_connection(request, target)
         return AttemptOutcome.BROKEN
 
     def _record_if_dead_while_idle(
--- a/rhubarbbend/gateway/_crash_watch.py
+++ b/rhubarbbend/gateway/_crash_detector.py
@@ -28,7 +28,7 @@
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
-class CrashWatch:
+class CrashDetector:
     """Checks targets that closed the connection of a request before answering it.
 
     Invariant: no request waits for a check; each runs as a task of its own.
@@ -39,7 +39,7 @@
         self._peers = peers
         self._spawn = spawn
 
-    def suspect(self, request: OpenRequest, target: Target) -> None:
+    def handle_broken_connection(self, request: OpenRequest, target: Target) -> None:
         """Start a check of a target that closed the connection of a request before answering it."""
         self._spawn(self._check_for_crash(request.id, request.digest, target))
 
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -15,14 +15,14 @@
 from rhubarbbend import VERSION, codes
 from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._attempts import AttemptRunner
-from rhubarbbend.gateway._crash_watch import CrashWatch
+from rhubarbbend.gateway._crash_detector import CrashDetector
 from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._follower import StateFollower
 from rhubarbbend.gateway._interfaces import Adapter
 from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._metrics import CONTENT_TYPE
 from rhubarbbend.gateway._peers import PeerClient, PeerServer
-from rhubarbbend.gateway._serving import RequestServer
+from rhubarbbend.gateway._request_server import RequestServer
 from rhubarbbend.gateway._settings import GatewaySettings, SettingsInvalid, SettingsReader
 from rhubarbbend.gateway._state import Note, State, read_clock
 from rhubarbbend.http import ConnectionPool, Exchange, HttpServer, ServerLimits
@@ -81,8 +81,8 @@
         self._requests = RequestServer(self.state, adapter.callers, attempts, read_clock)
         selector = ReaderSelector(settings.instance, settings.zone)
         self._peers = PeerClient(self.state, self._peer_pool, selector)
-        crashes = CrashWatch(self.state, self._peers, self._spawn)
-        attempts.crash_listener = crashes.suspect
+        crashes = CrashDetector(self.state, self._peers, self._spawn)
+        attempts.on_broken_connection = crashes.handle_broken_connection
         self._follower = StateFollower(
             self.state, adapter.store, adapter.decoder, self._peers, selector
         )
@@ -170,7 +170,7 @@
     def _register_gauges(self) -> None:
         state = self.state
         metrics = state.metrics
-        metrics.register_gauge("open_requests", lambda: self._requests.open)
+        metrics.register_gauge("open_requests", lambda: self._requests.open_requests)
         metrics.register_gauge("targets", state.registry.count)
         metrics.register_gauge("instances", lambda: len(state.list_instances()))
         metrics.register_gauge(
@@ -284,15 +284,15 @@
         stop_began_at = read_clock()
         killed_at = stop_began_at + self.settings.stop_grace - STOP_MARGIN_S
         self.state.stopping = True
-        self._log("stopping", open=self._requests.open)
+        self._log("stopping", open=self._requests.open_requests)
         self._caller_server.start_draining()
         if self.settings.peers is not None:
             self._spawn(self._follower.instance_list.leave())
         await asyncio.sleep(min(READINESS_PROPAGATION_S, self.settings.stop_grace / 3))
         self._caller_server.stop_accepting()
-        while self._requests.open and read_clock() < killed_at:
+        while self._requests.open_requests and read_clock() < killed_at:
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
-        unfinished = self._requests.open
+        unfinished = self._requests.open_requests
         if not unfinished:
             # Responses that were written may still be in transit.
             try:
--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_request_server.py
@@ -57,11 +57,11 @@
         self._caller_protocol = caller_protocol
         self._attempts = attempts
         self._clock = clock
-        self.open = 0
+        self.open_requests = 0
 
     async def serve(self, exchange: Exchange) -> None:
         """Serve one request; this is the handler of the HTTP server for callers."""
-        self.open += 1
+        self.open_requests += 1
         now = self._clock()
         self._state.metrics.increment_counter(codes.REQUESTS)
         try:
@@ -73,7 +73,7 @@
         except Exception as error:
             self._handle_internal_error(exchange, error)
         finally:
-            self.open -= 1
+            self.open_requests -= 1
             exchange.on_closed = None
 
     def _handle_internal_error(self, exchange: Exchange, error: Exception) -> None:
