--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -116,7 +116,7 @@
             )
             backoff_until = record_failure(target.id, now)
             if timed_out and health.is_unreachable(target.id):
-                self._state.note_lost(target, now)
+                self._state.handle_unreachable_target(target, now)
             self._state.metrics.increment_counter(codes.RETRY_CONNECT)
             self._log(
                 "target_unreachable",
@@ -175,8 +175,8 @@
         self._state.event_log.write(event, now, id=request.id, target=target.id, **fields)
 
     def _acquire_retry(self, request: OpenRequest, connection: Connection) -> None:
-        instances = len(self._state.list_instances())
-        share = self._state.find_retries(request.service.name)
+        instances = len(self._state.list_instance_ids())
+        share = self._state.get_retry_budget_share(request.service.name)
         if not share.try_acquire(instances, self._clock()):
             self._pool.release(connection, self._clock())
             raise RetryBudgetExhausted
@@ -307,8 +307,8 @@
         return AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED
 
     def _has_retry_left(self, request: OpenRequest) -> bool:
-        instances = len(self._state.list_instances())
-        share = self._state.find_retries(request.service.name)
+        instances = len(self._state.list_instance_ids())
+        share = self._state.get_retry_budget_share(request.service.name)
         return share.compute_remaining(instances, self._clock()) >= 1.0
 
     async def _relay_stream(
--- a/rhubarbbend/gateway/_crash_detector.py
+++ b/rhubarbbend/gateway/_crash_detector.py
@@ -14,7 +14,7 @@
 from rhubarbbend.core.directory import Target
 from rhubarbbend.gateway._peers import PeerClient
 from rhubarbbend.gateway._requests import OpenRequest
-from rhubarbbend.gateway._state import CrashNote, Note, State, read_clock
+from rhubarbbend.gateway._state import CrashReport, PeerUpdate, State, read_clock
 from rhubarbbend.http import Connection, HttpFailure
 
 # A target that closed a connection before answering is checked after this delay, since a process
@@ -73,4 +73,4 @@
             state.event_log.write(
                 "crash_counted", now, id=request, digest=digest, target=target.id, reason=reason
             )
-            await self._peers.tell(Note(crashes=[CrashNote(digest, target.id)]))
+            await self._peers.broadcast(PeerUpdate(crashes=[CrashReport(digest, target.id)]))
--- a/rhubarbbend/gateway/_follower.py
+++ b/rhubarbbend/gateway/_follower.py
@@ -15,11 +15,11 @@
 from rhubarbbend import codes
 from rhubarbbend.core.readers import ReaderSelector
 from rhubarbbend.gateway._instance_list import InstanceListMaintainer
-from rhubarbbend.gateway._intake import StateUpdater
 from rhubarbbend.gateway._interfaces import StateDecoder
 from rhubarbbend.gateway._peers import ChangesReply, PeerClient, ReaderCursor
 from rhubarbbend.gateway._settings import Address
-from rhubarbbend.gateway._state import INSTANCE_TABLE, Note, State, read_clock
+from rhubarbbend.gateway._state import INSTANCE_TABLE, PeerUpdate, State, read_clock
+from rhubarbbend.gateway._state_updater import StateUpdater
 from rhubarbbend.storage import HistoryCompacted, RowStore, StoreError
 
 # Delay after a change, so that changes in quick succession are read with one call: a call costs the
@@ -351,7 +351,7 @@
             if self._selector.is_reader(self._state.instances, now):
                 loads = self._state.loads.list_reports_since(loads_sent_at, False, now)
                 if loads:
-                    await self._peers.tell(Note(loads=loads))
+                    await self._peers.broadcast(PeerUpdate(loads=loads))
             loads_sent_at = now
 
     # Querying any other instance.
--- a/rhubarbbend/gateway/_load_telling.py
+++ b/rhubarbbend/gateway/_in_flight_protocol.py
@@ -172,7 +172,7 @@
         return self._selector.select_reader(self._state.instances, now)
 
     def _is_plausible(self, update: InFlightUpdate) -> bool:
-        instances = len(self._state.list_instances())
+        instances = len(self._state.list_instance_ids())
         if self._state.catalog is None:
             return is_plausible(update, instances, None)
         # An instance that has not read the list yet assumes that this many instances share a limit.
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -18,13 +18,13 @@
 from rhubarbbend.gateway._crash_detector import CrashDetector
 from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._follower import StateFollower
+from rhubarbbend.gateway._in_flight_protocol import InFlightProtocol
 from rhubarbbend.gateway._interfaces import Adapter
-from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._metrics import CONTENT_TYPE
 from rhubarbbend.gateway._peers import PeerClient, PeerServer
 from rhubarbbend.gateway._request_server import RequestServer
 from rhubarbbend.gateway._settings import GatewaySettings, SettingsInvalid, SettingsReader
-from rhubarbbend.gateway._state import Note, State, read_clock
+from rhubarbbend.gateway._state import PeerUpdate, State, read_clock
 from rhubarbbend.http import ConnectionPool, Exchange, HttpServer, ServerLimits
 from rhubarbbend.stop_signals import STOP_SIGNALS, ignore_late_stop
 
@@ -172,7 +172,7 @@
         metrics = state.metrics
         metrics.register_gauge("open_requests", lambda: self._requests.open_requests)
         metrics.register_gauge("targets", state.registry.count)
-        metrics.register_gauge("instances", lambda: len(state.list_instances()))
+        metrics.register_gauge("instances", lambda: len(state.list_instance_ids()))
         metrics.register_gauge(
             "instances_heard", lambda: state.loads.peer_counts.count_instances(read_clock())
         )
@@ -213,7 +213,7 @@
             await asyncio.sleep(LOCATION_BATCH_DELAY_S)
             self._has_location_updates.clear()
             locations = self.state.placement.prompt_locations.pop_updates(read_clock())
-            await self._peers.tell(Note(locations))
+            await self._peers.broadcast(PeerUpdate(locations))
 
     async def _run_housekeeping(self) -> None:
         while True:
--- a/rhubarbbend/gateway/_instance_list.py
+++ b/rhubarbbend/gateway/_instance_list.py
@@ -16,9 +16,9 @@
 
 from rhubarbbend.core.mirror import MirroredRow
 from rhubarbbend.core.readers import RENEW_INTERVAL_S, InstanceLeaseTracker, InstanceRow
-from rhubarbbend.gateway._intake import StateUpdater
 from rhubarbbend.gateway._peers import JoinNotice, PeerClient
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
+from rhubarbbend.gateway._state_updater import StateUpdater
 from rhubarbbend.storage import RowStore, StoreError, VersionConflict
 
 # This long interval is enough: the list only divides limits among the instances, and instances that
--- a/rhubarbbend/gateway/_liveness.py
+++ b/rhubarbbend/gateway/_liveness.py
@@ -95,7 +95,7 @@
             # Either silence or a failed connection alone may have another cause; both together show
             # that the target is unreachable.
             self._state.health.record_unreachable(target.id, now)
-            self._state.note_lost(target, now)
+            self._state.handle_unreachable_target(target, now)
             self._pool.close_idle_to(target.address)
             self._state.event_log.write(
                 "silent_target_lost", now, target=target.id, reason=failure.reason
--- a/rhubarbbend/gateway/_peers.py
+++ b/rhubarbbend/gateway/_peers.py
@@ -19,7 +19,7 @@
 from rhubarbbend.core.placement import TargetLoad
 from rhubarbbend.core.readers import InstanceRow, PeerUpdatePage, ReaderSelector
 from rhubarbbend.gateway._settings import Address
-from rhubarbbend.gateway._state import Note, State, read_clock
+from rhubarbbend.gateway._state import PeerUpdate, State, read_clock
 from rhubarbbend.http import ConnectionPool, Exchange, HttpFailure, Response, fetch
 
 CHANGES_PATH: Final = "/peer/changes"
@@ -67,7 +67,7 @@
     staleness: float
     held_s: float
     since_recovery: float | None
-    updates: PeerUpdatePage[Note]
+    updates: PeerUpdatePage[PeerUpdate]
     loads: list[TargetLoad]
     responder_time: float
 
@@ -101,7 +101,7 @@
                 query = msgspec.msgpack.decode(exchange.body, type=ChangesQuery)
                 await self._serve_changes(exchange, query)
             elif exchange.target == UPDATE_PATH:
-                update = msgspec.msgpack.decode(exchange.body, type=Note)
+                update = msgspec.msgpack.decode(exchange.body, type=PeerUpdate)
                 self._state.apply_peer_update(update, read_clock())
                 _respond(exchange, b"")
             elif exchange.target == JOIN_PATH:
@@ -109,7 +109,7 @@
                 self._state.add_instance(notice.instance, notice.row)
                 self._state.instance_joined.notify_all_soon()
                 locations = self._state.placement.prompt_locations.list_recent(read_clock())
-                _respond(exchange, msgspec.msgpack.encode(Note(locations)))
+                _respond(exchange, msgspec.msgpack.encode(PeerUpdate(locations)))
             else:
                 exchange.respond(404, [], b"")
         except msgspec.MsgspecError as error:
@@ -203,7 +203,7 @@
             self._state.event_log.write("peer_unreadable", read_clock(), reason=str(error))
             return None
 
-    async def tell(self, update: Note) -> None:
+    async def broadcast(self, update: PeerUpdate) -> None:
         """Send an update to all other instances, including those that wait at this one."""
         self._state.queue_for_listeners(update, read_clock())
         await self._send_to_relays(
@@ -223,7 +223,7 @@
         replies = await self._send_to_relays(JOIN_PATH, data, others)
         for reply in replies:
             if reply:
-                update = msgspec.msgpack.decode(reply, type=Note)
+                update = msgspec.msgpack.decode(reply, type=PeerUpdate)
                 self._state.placement.prompt_locations.merge_locations(
                     update.locations, read_clock()
                 )
--- a/rhubarbbend/gateway/_request_server.py
+++ b/rhubarbbend/gateway/_request_server.py
@@ -65,7 +65,7 @@
         now = self._clock()
         self._state.metrics.increment_counter(codes.REQUESTS)
         try:
-            if not self._state.opened.is_set():
+            if not self._state.became_ready.is_set():
                 await self._wait_until_opened(exchange, now)
             request = None if exchange.closed.is_set() else self._admit(exchange, now)
             if request is not None:
@@ -106,7 +106,7 @@
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
-                await self._state.opened.wait()
+                await self._state.became_ready.wait()
         self._state.metrics.increment_counter(codes.WAITED_FOR_START)
         is_gone = exchange.closed.is_set()
         if is_gone:
@@ -116,7 +116,7 @@
             self._clock(),
             id=self._caller_protocol.read_id(exchange),
             waited=round(self._clock() - now, 4),
-            opened=self._state.opened.is_set(),
+            opened=self._state.became_ready.is_set(),
             caller_gone=is_gone or None,
         )
 
@@ -172,7 +172,7 @@
         if self._state.crashes.is_refused(request.digest, now):
             self._refuse(request, codes.CRASHES_TARGETS, now)
             return None
-        self._state.find_retries(service.name).record_request(now)
+        self._state.get_retry_budget_share(service.name).record_request(now)
         return request
 
     # Delivery.
@@ -209,7 +209,7 @@
                 request.service,
                 request.caller.prompt,
                 request.excluded,
-                self._state.list_instances(),
+                self._state.list_instance_ids(),
                 self._state.random,
                 now,
             )
--- a/rhubarbbend/gateway/_state.py
+++ b/rhubarbbend/gateway/_state.py
@@ -45,7 +45,7 @@
 ASSUMED_INSTANCES: Final = 12
 
 
-class CrashNote(msgspec.Struct, frozen=True, array_like=True):
+class CrashReport(msgspec.Struct, frozen=True, array_like=True):
     """Reports that a request was running at a target when the target crashed.
 
     `digest` identifies the request's content.
@@ -55,7 +55,7 @@
     target: str
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
+class PeerUpdate(msgspec.Struct, frozen=True, array_like=True):
     """An update that an instance sends to all others.
 
     `received_at` is the local time at which it was received. Load reports are not kept with the
@@ -63,15 +63,15 @@
     """
 
     locations: list[PromptLocation] = []
-    crashes: list[CrashNote] = []
+    crashes: list[CrashReport] = []
     loads: list[TargetLoad] = []
     received_at: float | None = None
 
-    def add_age(self, now: float) -> Note:
+    def add_age(self, now: float) -> PeerUpdate:
         """Return the update to relay now; the time since its receipt is added to its ages."""
         waited = 0.0 if self.received_at is None else now - self.received_at
         locations = [location.add_age(waited) for location in self.locations]
-        return Note(locations, self.crashes)
+        return PeerUpdate(locations, self.crashes)
 
 
 class State:
@@ -101,7 +101,7 @@
         )
         # Replaced by a new object with each change, so that values computed from it can be cached.
         self.instances: Mapping[str, InstanceRow] = {}
-        self.peer_updates: PeerUpdateLog[Note] = PeerUpdateLog()
+        self.peer_updates: PeerUpdateLog[PeerUpdate] = PeerUpdateLog()
         # The latest time at which this instance's data is known to have matched the store.
         self.up_to_date_at = -math.inf
         # Notified when something has changed that other tasks or instances may wait for.
@@ -111,7 +111,7 @@
         self.stopping = False
         self.started_at = 0.0
         # Set once callers can be served for the first time.
-        self.opened = asyncio.Event()
+        self.became_ready = asyncio.Event()
         self._instance_ids: tuple[str, ...] | None = None
         self._retry_budget_shares: dict[str, RetryBudgetShare] = {}
 
@@ -138,7 +138,7 @@
         """Whether callers can be served and new ones are accepted."""
         return self.has_config_and_targets and not self.stopping
 
-    def find_retries(self, service: str) -> RetryBudgetShare:
+    def get_retry_budget_share(self, service: str) -> RetryBudgetShare:
         """Return this instance's share of a service's retry budget."""
         share = self._retry_budget_shares.get(service)
         if share is None:
@@ -149,7 +149,7 @@
             self._retry_budget_shares[service] = share
         return share
 
-    def list_instances(self) -> tuple[str, ...]:
+    def list_instance_ids(self) -> tuple[str, ...]:
         """Return the ids of all instances that share the limits, including this one.
 
         The same object is returned until the list changes, so that callers can cache what they
@@ -186,7 +186,7 @@
         """Return the staleness for log lines; None if no data was ever read."""
         return None if math.isinf(self.up_to_date_at) else round(self.compute_staleness(now), 3)
 
-    def apply_peer_update(self, update: Note, now: float) -> None:
+    def apply_peer_update(self, update: PeerUpdate, now: float) -> None:
         """Apply an update of another instance, and queue it for those that wait at this one."""
         self.loads.merge_reports(update.loads, True, now)
         self.placement.prompt_locations.merge_locations(update.locations, now)
@@ -197,14 +197,14 @@
             self.health.record_unreachable(crash.target, now)
         self.queue_for_listeners(update, now)
 
-    def queue_for_listeners(self, update: Note, now: float) -> None:
+    def queue_for_listeners(self, update: PeerUpdate, now: float) -> None:
         """Queue an update for the instances that wait at this one."""
         if not update.locations and not update.crashes:
             return
-        self.peer_updates.add(Note(update.locations, update.crashes, received_at=now))
+        self.peer_updates.add(PeerUpdate(update.locations, update.crashes, received_at=now))
         self.changed.notify_all_soon()
 
-    def note_lost(self, target: Target, now: float) -> None:
+    def handle_unreachable_target(self, target: Target, now: float) -> None:
         """Mark the whole zone of an unreachable target suspect, if it is not this instance's zone.
 
         The zone may be partitioned.
--- a/rhubarbbend/gateway/_intake.py
+++ b/rhubarbbend/gateway/_state_updater.py
@@ -44,7 +44,7 @@
         if all(table.known for table in self._state.mirror.tables.values()):
             self._state.registry.mark_initial_read_complete()
         if self._state.has_config_and_targets:
-            self._state.opened.set()
+            self._state.became_ready.set()
         if count:
             self._state.changed.notify_all()
         return count
--- a/tests/gateway/test_load_telling.py
+++ b/tests/gateway/test_in_flight_protocol.py
@@ -11,7 +11,7 @@
 from rhubarbbend.core.placement import CountScope, InFlightUpdate, compute_target_hash
 from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._event_log import EventLog
-from rhubarbbend.gateway._load_telling import InFlightProtocol
+from rhubarbbend.gateway._in_flight_protocol import InFlightProtocol
 from rhubarbbend.gateway._settings import GatewaySettings
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State
 from tests.gateway.harness import run
