--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -14,7 +14,7 @@
 from rhubarbbend.core.delivery import AttemptOutcome, LatencyTracker
 from rhubarbbend.core.directory import Target
 from rhubarbbend.core.placement import Choice
-from rhubarbbend.gateway._interfaces import TargetAnswer, TargetOrder, TargetProtocol
+from rhubarbbend.gateway._interfaces import ForwardingOptions, TargetProtocol, TargetResponseHead
 from rhubarbbend.gateway._liveness import StreamTimeoutPolicy, TargetLivenessMonitor
 from rhubarbbend.gateway._requests import BufferedAnswer, OpenRequest
 from rhubarbbend.gateway._state import Clock, State, read_clock
@@ -141,7 +141,7 @@
         if request.progress.sends > 0:
             self._acquire_retry(request, connection)
         outcome = AttemptOutcome.BROKEN
-        answer: TargetAnswer | None = None
+        answer: TargetResponseHead | None = None
         self._liveness.add_connection(choice.target.id, connection)
         try:
             self._send(request, choice, connection)
@@ -164,7 +164,7 @@
                 choice.target,
                 end=outcome.value,
                 status=None if answer is None else answer.status,
-                held=None if answer is None else answer.held,
+                held=None if answer is None else answer.load,
                 after=round(self._clock() - request.arrived_at, 4),
             )
         self._record_health(choice.target, request, outcome)
@@ -184,16 +184,16 @@
     def _send(self, request: OpenRequest, choice: Choice, connection: Connection) -> None:
         now = self._clock()
         caller = request.caller
-        order = TargetOrder(
+        options = ForwardingOptions(
             target=choice.target.id,
-            time_left=request.compute_time_left(now),
+            remaining_s=request.compute_time_left(now),
             account="" if request.account is None else request.account.name,
             priority=request.priority,
-            resume_after=request.relay.last_id,
+            last_event_id=request.relay.last_id,
             source=None if choice.source is None else choice.source.address,
         )
-        headers = self._target_protocol.make_headers(caller, order)
-        connection.send_raw(caller.method, caller.target, headers, caller.body)
+        headers = self._target_protocol.make_headers(caller, options)
+        connection.send_raw(caller.method, caller.path_and_query, headers, caller.body)
         request.sent_at = now
         request.relay.has_received_event = False
         self._state.placement.record_sent(choice, caller.prompt, request.chosen_at, now)
@@ -219,14 +219,14 @@
 
     async def _receive_head(
         self, request: OpenRequest, target: Target, connection: Connection
-    ) -> TargetAnswer:
+    ) -> TargetResponseHead:
         """Return the head of the answer to this request.
 
         Answers that arrive before it and belong to other requests are discarded.
         """
         while True:
             response = await self._receive_next_head(request, target, connection)
-            answer = self._target_protocol.read_answer(response)
+            answer = self._target_protocol.read_response_head(response)
             if answer.request == request.id or answer.misdirected:
                 break
             self._state.metrics.increment_counter(codes.WRONG_ID)
@@ -234,18 +234,18 @@
             if not answer.request:
                 raise HttpFailure(SendStage.RESPONSE, "the answer carries no request id")
             await connection.discard_response(STRAY_ANSWER_TIMEOUT_S)
-        if answer.held is not None:
-            self._record_load_report(request, target, answer.held)
+        if answer.load is not None:
+            self._record_load_report(request, target, answer.load)
         return answer
 
-    def _record_load_report(self, request: OpenRequest, target: Target, held: int) -> None:
+    def _record_load_report(self, request: OpenRequest, target: Target, load: int) -> None:
         """Record the load that a target reports, and count by how much it was underestimated."""
         now = self._clock()
         has_peer_counts = request.service.engine is not None
-        underestimate = held - round(self._state.loads.estimate(target.id, has_peer_counts, now))
+        underestimate = load - round(self._state.loads.estimate(target.id, has_peer_counts, now))
         self._state.metrics.increment_counter(codes.LOAD_REPORTS_IN_ANSWERS)
         self._state.metrics.increment_counter(codes.LOAD_UNDERESTIMATED, max(0, underestimate))
-        self._state.loads.record_report(target.id, held, now)
+        self._state.loads.record_report(target.id, load, now)
 
     async def _receive_next_head(
         self, request: OpenRequest, target: Target, connection: Connection
@@ -276,15 +276,19 @@
         return StreamTimeoutPolicy(request, target, self._liveness, self._latencies, self._clock)
 
     async def _process_answer(
-        self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
+        self,
+        request: OpenRequest,
+        target: Target,
+        answer: TargetResponseHead,
+        connection: Connection,
     ) -> AttemptOutcome:
         if answer.misdirected:
             await _read_body(connection, request)
             return AttemptOutcome.MISDIRECTED
-        if answer.not_run:
+        if answer.was_not_executed:
             await _read_body(connection, request)
             return AttemptOutcome.REJECTED
-        if not answer.genuine or answer.status in NOT_RUN_STATUSES:
+        if not answer.is_authentic or answer.status in NOT_RUN_STATUSES:
             # The request ran or may have run; the caller would take the status for a guarantee that
             # it did not.
             raise HttpFailure(
@@ -312,7 +316,11 @@
         return share.compute_remaining(instances, self._clock()) >= 1.0
 
     async def _relay_stream(
-        self, request: OpenRequest, target: Target, answer: TargetAnswer, connection: Connection
+        self,
+        request: OpenRequest,
+        target: Target,
+        answer: TargetResponseHead,
+        connection: Connection,
     ) -> AttemptOutcome:
         relay = request.relay
         is_resumed = request.answer is not None and relay.started
@@ -381,17 +389,17 @@
         return True
 
     def _release_or_close(
-        self, connection: Connection, answer: TargetAnswer | None, outcome: AttemptOutcome
+        self, connection: Connection, answer: TargetResponseHead | None, outcome: AttemptOutcome
     ) -> None:
         """Return the connection to the pool if the answer was read completely, else close it.
 
         Closing it makes the target end its work on the request.
         """
-        if answer is None or answer.closes or outcome in NON_REUSABLE_OUTCOMES:
+        if answer is None or answer.closes_connection or outcome in NON_REUSABLE_OUTCOMES:
             connection.close()
             return
-        if answer.idle_limit is not None:
-            connection.idle_timeout_s = answer.idle_limit - IDLE_MARGIN_S
+        if answer.idle_timeout_s is not None:
+            connection.idle_timeout_s = answer.idle_timeout_s - IDLE_MARGIN_S
         self._pool.release(connection, self._clock())
 
     def _record_health(self, target: Target, request: OpenRequest, outcome: AttemptOutcome) -> None:
--- a/rhubarbbend/gateway/_interfaces.py
+++ b/rhubarbbend/gateway/_interfaces.py
@@ -35,58 +35,59 @@
 class CallerRequest(msgspec.Struct):
     """A caller's request.
 
-    `id` identifies this attempt of the caller. `target` is the path with its query, `path` the path
-    alone. `time_limit` is how many seconds the caller waits after the request was read, None if not
-    stated. `resume_after` is the id of the last event of a stream that the caller already has.
+    `id` identifies this attempt of the caller. `path_and_query` is the path with its query,
+    `path` the path alone. `timeout_s` is how many seconds the caller waits after the request was
+    read, None if not stated. `last_event_id` is the id of the last event of a stream that the
+    caller already has.
     """
 
     id: str
     method: bytes
-    target: bytes
+    path_and_query: bytes
     path: str
     host: str
-    key: str
+    api_key: str
     headers: RawHeaders
     body: bytes
-    time_limit: float | None = None
+    timeout_s: float | None = None
     prompt: Prompt | None = None
-    resume_after: str = ""
+    last_event_id: str = ""
 
 
-class TargetOrder(msgspec.Struct, frozen=True):
+class ForwardingOptions(msgspec.Struct, frozen=True):
     """What a target is sent in addition to the caller's request.
 
-    `time_left` is in seconds. `priority` is 0 for the most urgent requests. `account` is empty on
+    `remaining_s` is in seconds. `priority` is 0 for the most urgent requests. `account` is empty on
     public routes. `source` is the address of a target that may hold parts of the prompt.
     """
 
     target: str
-    time_left: float
+    remaining_s: float
     account: str
     priority: int
-    resume_after: str = ""
+    last_event_id: str = ""
     source: tuple[str, int] | None = None
 
 
-class TargetAnswer(msgspec.Struct, frozen=True):
+class TargetResponseHead(msgspec.Struct, frozen=True):
     """The head of a target's response.
 
-    `request` is the request id that it carries. `genuine` is whether it carries the target's seal
-    and its body has not been changed. `not_run` states that the target did not run the request,
-    `misdirected` that a target other than the intended one responded, `closes` that the target
-    closes the connection. `held` is the number of requests running and waiting at the target, None
-    if it is not stated. `idle_limit` is how many seconds the target keeps an idle connection open,
-    None if it is not stated.
+    `request` is the request id that it carries. `is_authentic` is whether it carries the target's
+    seal and its body has not been changed. `was_not_executed` states that the target did not run
+    the request, `misdirected` that a target other than the intended one responded,
+    `closes_connection` that the target closes the connection. `load` is the number of requests
+    running and waiting at the target, None if it is not stated. `idle_timeout_s` is how many
+    seconds the target keeps an idle connection open, None if it is not stated.
     """
 
     status: int
     request: str
-    genuine: bool
-    not_run: bool
+    is_authentic: bool
+    was_not_executed: bool
     misdirected: bool
-    closes: bool
-    held: int | None
-    idle_limit: float | None
+    closes_connection: bool
+    load: int | None
+    idle_timeout_s: float | None
     headers: RawHeaders
 
 
@@ -94,11 +95,11 @@
     """The platform's protocol between callers and the fleet."""
 
     @abc.abstractmethod
-    def read_id(self, exchange: Exchange) -> str:
+    def read_request_id(self, exchange: Exchange) -> str:
         """Return the id of a caller's attempt, or an empty string if it has no usable one."""
 
     @abc.abstractmethod
-    def read_time_limit(self, exchange: Exchange) -> float | None:
+    def read_timeout(self, exchange: Exchange) -> float | None:
         """Return how many seconds a caller waits, or None if it states no valid number."""
 
     @abc.abstractmethod
@@ -106,7 +107,7 @@
         """Parse a request. Raise `BadRequest` if it is invalid."""
 
     @abc.abstractmethod
-    def make_error(
+    def make_error_response(
         self, code: ErrorCode, verdict: Verdict, retry_after: float, request: str
     ) -> tuple[int, list[tuple[str, str]], bytes]:
         """Return status, headers and body of an error response.
@@ -119,47 +120,49 @@
     """The platform's protocol between the fleet and targets."""
 
     @abc.abstractmethod
-    def make_headers(self, request: CallerRequest, order: TargetOrder) -> RawHeaders:
+    def make_headers(self, request: CallerRequest, options: ForwardingOptions) -> RawHeaders:
         """Return all headers of the request that is sent to a target."""
 
     @abc.abstractmethod
-    def read_answer(self, response: Response) -> TargetAnswer:
+    def read_response_head(self, response: Response) -> TargetResponseHead:
         """Parse the head of a response."""
 
 
-class CatalogRead(msgspec.Struct, frozen=True):
+class CatalogPublished(msgspec.Struct, frozen=True):
     """A version of the configuration was read."""
 
     catalog: Catalog
 
 
-class TargetRead(msgspec.Struct, frozen=True):
+class TargetRegistered(msgspec.Struct, frozen=True):
     """A target's registration was read."""
 
     record: TargetRecord
 
 
-class TargetMissing(msgspec.Struct, frozen=True):
+class TargetUnregistered(msgspec.Struct, frozen=True):
     """A target's registration no longer exists, or does not describe a target."""
 
     target: str
 
 
-class ZoneMoved(msgspec.Struct, frozen=True):
+class ZoneServiceChanged(msgspec.Struct, frozen=True):
     """An availability zone was taken out of service, or returned to service."""
 
     zone: str
-    out: bool
+    is_out_of_service: bool
 
 
-class Unreadable(msgspec.Struct, frozen=True):
+class RowUnreadable(msgspec.Struct, frozen=True):
     """A row could not be decoded; what was known before stays in force."""
 
     row: str
     reason: str
 
 
-StateChange = CatalogRead | TargetRead | TargetMissing | ZoneMoved | Unreadable
+StateChange = (
+    CatalogPublished | TargetRegistered | TargetUnregistered | ZoneServiceChanged | RowUnreadable
+)
 
 
 class StateDecoder(abc.ABC):
@@ -172,7 +175,7 @@
 
     @abc.abstractmethod
     def decode(self, table: str, changes: Sequence[RowChange]) -> list[StateChange]:
-        """Decode changed rows. A row with an error is returned as `Unreadable`."""
+        """Decode changed rows. A row with an error is returned as `RowUnreadable`."""
 
 
 class Adapter(msgspec.Struct, frozen=True):
--- a/rhubarbbend/gateway/_request_server.py
+++ b/rhubarbbend/gateway/_request_server.py
@@ -80,7 +80,7 @@
         """End a request after an exception in this program; the request may have run."""
         self._state.metrics.increment_counter(codes.INTERNAL_ERRORS)
         reason = "".join(traceback.format_exception(error)[-3:])
-        request_id = self._caller_protocol.read_id(exchange)
+        request_id = self._caller_protocol.read_request_id(exchange)
         self._state.event_log.write("internal_error", self._clock(), id=request_id, reason=reason)
         if exchange.started:
             exchange.abort()
@@ -98,10 +98,10 @@
         without a reachable store has not received it by the end of that time, and refuses requests
         at once from then on.
         """
-        time_limit = self._caller_protocol.read_time_limit(exchange)
+        caller_timeout_s = self._caller_protocol.read_timeout(exchange)
         timeout = self._state.started_at + STARTUP_WAIT_S - now
-        if time_limit is not None:
-            timeout = min(timeout, STARTUP_WAIT_FRACTION * time_limit)
+        if caller_timeout_s is not None:
+            timeout = min(timeout, STARTUP_WAIT_FRACTION * caller_timeout_s)
         if timeout <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
@@ -114,7 +114,7 @@
         self._state.event_log.write(
             "waited_for_start",
             self._clock(),
-            id=self._caller_protocol.read_id(exchange),
+            id=self._caller_protocol.read_request_id(exchange),
             waited=round(self._clock() - now, 4),
             opened=self._state.became_ready.is_set(),
             caller_gone=is_gone or None,
@@ -124,7 +124,7 @@
         """Return the request if it may be sent to targets; otherwise answer it and return None."""
         catalog = self._state.catalog
         if catalog is None:
-            request_id = self._caller_protocol.read_id(exchange)
+            request_id = self._caller_protocol.read_request_id(exchange)
             self._reject(
                 exchange, request_id, codes.NOT_READY, "no configuration received yet", now
             )
@@ -132,7 +132,7 @@
         try:
             caller = self._caller_protocol.read_request(exchange)
         except BadRequest as error:
-            request_id = self._caller_protocol.read_id(exchange)
+            request_id = self._caller_protocol.read_request_id(exchange)
             self._reject(exchange, request_id, error.code, error.detail, now)
             return None
         return self._authorize_and_route(exchange, caller, catalog, now)
@@ -147,7 +147,7 @@
             return None
         account = None
         if catalog.needs_key and not route.public:
-            account = catalog.find_account(caller.key)
+            account = catalog.find_account(caller.api_key)
             if account is None:
                 detail = f"unknown API key in configuration version {catalog.version}"
                 self._reject(exchange, caller.id, codes.UNAUTHORIZED, detail, now)
@@ -324,7 +324,7 @@
         verdict: Verdict,
         retry_after: float,
     ) -> None:
-        status, headers, body = self._caller_protocol.make_error(
+        status, headers, body = self._caller_protocol.make_error_response(
             code, verdict, retry_after, request_id
         )
         exchange.respond(status, headers, body)
--- a/rhubarbbend/gateway/_requests.py
+++ b/rhubarbbend/gateway/_requests.py
@@ -9,7 +9,7 @@
 from rhubarbbend.core.catalog import ClientAccount, Route, Service
 from rhubarbbend.core.delivery import Progress
 from rhubarbbend.core.directory import Target
-from rhubarbbend.gateway._interfaces import CallerRequest, TargetAnswer
+from rhubarbbend.gateway._interfaces import CallerRequest, TargetResponseHead
 from rhubarbbend.gateway._streams import EventRelay
 from rhubarbbend.http import Exchange
 
@@ -17,7 +17,7 @@
 class BufferedAnswer(msgspec.Struct, frozen=True):
     """A target's complete answer, buffered until it is decided whether the caller gets it."""
 
-    head: TargetAnswer
+    head: TargetResponseHead
     body: bytes
 
 
@@ -66,13 +66,13 @@
         self.service = service
         self.account = account
         self.arrived_at = arrived_at
-        time_limit = route.timeout if caller.time_limit is None else caller.time_limit
-        self.deadline = arrived_at + min(time_limit, route.timeout)
+        timeout_s = route.timeout if caller.timeout_s is None else caller.timeout_s
+        self.deadline = arrived_at + min(timeout_s, route.timeout)
         self.progress = Progress()
         self.excluded: set[str] = set()
         self.digest = _compute_digest(caller)
-        self.relay = EventRelay(exchange, self._send_head, caller.resume_after)
-        self.answer: TargetAnswer | None = None
+        self.relay = EventRelay(exchange, self._send_head, caller.last_event_id)
+        self.answer: TargetResponseHead | None = None
         # An error answer that a target itself sent; the caller gets it if no other target succeeds.
         self.fallback_answer: BufferedAnswer | None = None
         self.attempt_target: Target | None = None
@@ -108,5 +108,5 @@
 def _compute_digest(caller: CallerRequest) -> str:
     """Return a digest of what stays the same when the caller sends the request again."""
     digest = hashlib.blake2b(caller.body, digest_size=12)
-    digest.update(b"\0".join((caller.method, caller.target, caller.key.encode())))
+    digest.update(b"\0".join((caller.method, caller.path_and_query, caller.api_key.encode())))
     return digest.hexdigest()
--- a/rhubarbbend/gateway/_state_updater.py
+++ b/rhubarbbend/gateway/_state_updater.py
@@ -13,13 +13,13 @@
 from rhubarbbend.core.mirror import RowChange, TablePage
 from rhubarbbend.core.readers import InstanceRow
 from rhubarbbend.gateway._interfaces import (
-    CatalogRead,
+    CatalogPublished,
+    RowUnreadable,
     StateChange,
     StateDecoder,
-    TargetMissing,
-    TargetRead,
-    Unreadable,
-    ZoneMoved,
+    TargetRegistered,
+    TargetUnregistered,
+    ZoneServiceChanged,
 )
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
 
@@ -63,27 +63,31 @@
 
     def _apply(self, change: StateChange, source: str) -> None:
         now = read_clock()
-        if isinstance(change, CatalogRead):
+        if isinstance(change, CatalogPublished):
             self._apply_catalog(change, source)
-        elif isinstance(change, TargetRead):
+        elif isinstance(change, TargetRegistered):
             self._apply_target(change, source, now)
-        elif isinstance(change, TargetMissing):
+        elif isinstance(change, TargetUnregistered):
             target = self._state.registry.find(change.target)
             self._state.registry.unregister(change.target, now)
             if target is not None and self._state.registry.find(change.target) is None:
                 self._state.placement.record_departure(target, now)
             self._log("target_unregistered", target=change.target, source=source)
-        elif isinstance(change, ZoneMoved):
-            if change.out:
+        elif isinstance(change, ZoneServiceChanged):
+            if change.is_out_of_service:
                 self._state.registry.take_zone_out_of_service(change.zone, now)
             else:
                 self._state.registry.return_zone_to_service(change.zone, now)
-            self._log("zone_out" if change.out else "zone_in", zone=change.zone, source=source)
-        elif isinstance(change, Unreadable):
+            self._log(
+                "zone_out" if change.is_out_of_service else "zone_in",
+                zone=change.zone,
+                source=source,
+            )
+        elif isinstance(change, RowUnreadable):
             self._state.metrics.increment_counter(codes.CONFIG_UNREADABLE)
             self._log("row_unreadable", row=change.row, reason=change.reason, source=source)
 
-    def _apply_catalog(self, change: CatalogRead, source: str) -> None:
+    def _apply_catalog(self, change: CatalogPublished, source: str) -> None:
         current = self._state.catalog
         if current is not None and change.catalog.version <= current.version:
             self._state.metrics.increment_counter(codes.CONFIG_STALE)
@@ -98,7 +102,7 @@
             source=source,
         )
 
-    def _apply_target(self, change: TargetRead, source: str, now: float) -> None:
+    def _apply_target(self, change: TargetRegistered, source: str, now: float) -> None:
         record = change.record
         target = self._state.registry.register(record, now)
         self._log(
--- a/tests/adapter/test_rows.py
+++ b/tests/adapter/test_rows.py
@@ -12,12 +12,12 @@
 from rhubarbbend.core.directory import TargetState
 from rhubarbbend.core.mirror import RowChange
 from rhubarbbend.gateway import (
-    CatalogRead,
+    CatalogPublished,
+    RowUnreadable,
     StateChange,
-    TargetMissing,
-    TargetRead,
-    Unreadable,
-    ZoneMoved,
+    TargetRegistered,
+    TargetUnregistered,
+    ZoneServiceChanged,
 )
 
 ROUTE = {
@@ -68,7 +68,7 @@
 
 def test_decode_configuration() -> None:
     (change,) = decode("op", "config", CONFIG)
-    assert isinstance(change, CatalogRead)
+    assert isinstance(change, CatalogPublished)
     catalog = change.catalog
     route = catalog.find_route("plots.example", "/plan/2f")
     assert route is not None
@@ -95,13 +95,15 @@
 def test_malformed_configuration_yields_only_unreadable(change: dict[str, Any]) -> None:
     (unreadable,) = decode("op", "config", {**CONFIG, **change})
     assert (
-        isinstance(unreadable, Unreadable) and unreadable.row == "op/config" and unreadable.reason
+        isinstance(unreadable, RowUnreadable)
+        and unreadable.row == "op/config"
+        and unreadable.reason
     )
 
 
 def test_decode_target_registration() -> None:
     (change,) = decode("servers", "i-1", REGISTRATION)
-    assert isinstance(change, TargetRead)
+    assert isinstance(change, TargetRegistered)
     record = change.record
     assert (record.id, record.host, record.port) == ("i-1", "10.1.0.9", 8080)
     assert (record.cold_left, record.boot) == (1.5, 1_775_300_355_245)
@@ -124,12 +126,12 @@
     change: dict[str, Any],
 ) -> None:
     decoded = decode("servers", "i-1", {**REGISTRATION, **change})
-    assert isinstance(decoded[0], Unreadable)
-    assert decoded[1] == TargetMissing("i-1")
+    assert isinstance(decoded[0], RowUnreadable)
+    assert decoded[1] == TargetUnregistered("i-1")
 
 
 def test_decode_deleted_registrations_zone_evacuations_and_unknown_rows() -> None:
-    assert decode("servers", "i-1", None) == [TargetMissing("i-1")]
-    assert decode("op", "evacuate/almaty-a", {}) == [ZoneMoved("almaty-a", True)]
-    assert decode("op", "evacuate/almaty-a", None) == [ZoneMoved("almaty-a", False)]
+    assert decode("servers", "i-1", None) == [TargetUnregistered("i-1")]
+    assert decode("op", "evacuate/almaty-a", {}) == [ZoneServiceChanged("almaty-a", True)]
+    assert decode("op", "evacuate/almaty-a", None) == [ZoneServiceChanged("almaty-a", False)]
     assert decode("op", "something-else", {"x": 1}) == []
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("response", "genuine"),
+    ("response", "is_authentic"),
     [
         (make_response(), True),
         (make_response(response_seal=""), False),
@@ -30,18 +30,23 @@
         (make_response(500, content_encoding="gzip"), False),
     ],
 )
-def test_success_is_genuine_only_with_seal_and_without_content_encoding(
-    response: Response, genuine: bool
+def test_success_is_authentic_only_with_seal_and_without_content_encoding(
+    response: Response, is_authentic: bool
 ) -> None:
-    assert PlatformTargetProtocol().read_answer(response).genuine is genuine
+    assert PlatformTargetProtocol().read_response_head(response).is_authentic is is_authentic
 
 
-def test_decode_load_idle_limit_and_not_executed() -> None:
+def test_decode_load_idle_timeout_and_not_executed() -> None:
     response = make_response(
         503, not_executed="1", keep_alive="timeout=7, max=3", connection="close"
     )
-    answer = PlatformTargetProtocol().read_answer(response)
-    assert (answer.held, answer.idle_limit, answer.not_run, answer.closes) == (5, 7.0, True, True)
+    answer = PlatformTargetProtocol().read_response_head(response)
+    assert (
+        answer.load,
+        answer.idle_timeout_s,
+        answer.was_not_executed,
+        answer.closes_connection,
+    ) == (5, 7.0, True, True)
     assert [name for name, _ in answer.headers] == [
         b"attempt-id",
         b"response-seal",
@@ -51,4 +56,4 @@
 
 @pytest.mark.parametrize("load", ["", "3", "a,b,c", "3,-1,6", "1,2,3,4"])
 def test_malformed_load_is_ignored(load: str) -> None:
-    assert PlatformTargetProtocol().read_answer(make_response(server_load=load)).held is None
+    assert PlatformTargetProtocol().read_response_head(make_response(server_load=load)).load is None
