--- a/rhubarbbend/cli/__init__.py
+++ b/rhubarbbend/cli/__init__.py
@@ -4,7 +4,7 @@
 let operators view and change the fleet's configuration.
 """
 
+from rhubarbbend.cli._exit_status import ExitStatus
 from rhubarbbend.cli._main import main
-from rhubarbbend.cli._status import ExitStatus
 
 __all__ = ["ExitStatus", "main"]
--- a/rhubarbbend/cli/_main.py
+++ b/rhubarbbend/cli/_main.py
@@ -7,8 +7,9 @@
 
 from thriftpy2.thrift import TException
 
+from rhubarbbend.cli._exit_status import ExitStatus
 from rhubarbbend.cli._explain import explain_request, read_logs
-from rhubarbbend.cli._operate import (
+from rhubarbbend.cli._operator_commands import (
     ChangeOutcomeUnknown,
     apply,
     describe_error,
@@ -16,7 +17,6 @@
     show,
 )
 from rhubarbbend.cli._options import Options, parse_options
-from rhubarbbend.cli._status import ExitStatus
 from rhubarbbend.operators import SCHEMA
 from rhubarbbend.settings import SettingsInvalid, load_settings
 from rhubarbbend.shell import serve
--- a/rhubarbbend/cli/_operate.py
+++ b/rhubarbbend/cli/_operator_commands.py
@@ -17,8 +17,8 @@
 from thriftpy2.transport import TTransportException
 
 from rhubarbbend.cli._declarations import check_differences, find_differences, read_declarations
+from rhubarbbend.cli._exit_status import ExitStatus
 from rhubarbbend.cli._options import Options
-from rhubarbbend.cli._status import ExitStatus
 from rhubarbbend.core.configuration import TargetState, Zone
 from rhubarbbend.operators import SCHEMA, OperatorClient, derive_operator_key
 from rhubarbbend.settings import SecretSettings, parse_address, read_secret
--- a/rhubarbbend/gateway/_request_server.py
+++ b/rhubarbbend/gateway/_request_server.py
@@ -36,7 +36,7 @@
 # the time that the store takes to return it, and the time that other instances take to send it if
 # the store does not.
 STARTUP_WAIT_S: Final = 0.8
-# At startup, a caller waits at most this fraction of its request's time limit, so that an attempt
+# At startup, a caller waits at most this fraction of its request's time-out, so that an attempt
 # at another instance can still be answered in time.
 STARTUP_WAIT_FRACTION: Final = 0.33
 # Reasons for rejecting targets that are available and will accept requests again soon.
--- a/tests/adapter/test_targets.py
+++ b/tests/adapter/test_targets.py
@@ -1,4 +1,4 @@
-"""Decoding the heads of targets' responses: seal, load, idle limit and forwarded headers."""
+"""Decoding the heads of targets' responses: seal, load, idle time-out and forwarded headers."""
 
 from __future__ import annotations
 
--- a/tests/trace/test_replay.py
+++ b/tests/trace/test_replay.py
@@ -16,7 +16,7 @@
 
 from rhubarbbend.cli import main
 from rhubarbbend.trace import TraceInvalid, replay_trace
-from tests.trace.storm import PRIVATE_BODY, SECRET, SET_UP_EVENTS, RandomDriver
+from tests.trace.random_driver import PRIVATE_BODY, SECRET, SET_UP_EVENTS, RandomDriver
 
 STEPS = 2500
 
