--- a/rhubarbbend/gateway/_crash_watch.py
+++ b/rhubarbbend/gateway/_crash_detector.py
@@ -14,7 +14,7 @@
 from rhubarbbend.core.directory import Target
 from rhubarbbend.gateway._peers import PeerClient
 from rhubarbbend.gateway._requests import OpenRequest
-from rhubarbbend.gateway._state import CrashNote, Note, State, read_clock
+from rhubarbbend.gateway._state import CrashReport, PeerUpdate, State, read_clock
 from rhubarbbend.http import Connection, HttpFailure
 
 # A target that closed a connection before answering is checked after this delay, since a process
@@ -28,7 +28,7 @@
 Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
-class CrashWatch:
+class CrashDetector:
     """Checks targets that closed the connection of a request before answering it.
 
     Invariant: no request waits for a check; each runs as a task of its own.
@@ -39,7 +39,7 @@
         self._peers = peers
         self._spawn = spawn
 
-    def suspect(self, request: OpenRequest, target: Target) -> None:
+    def handle_broken_connection(self, request: OpenRequest, target: Target) -> None:
         """Start a check of a target that closed the connection of a request before answering it."""
         self._spawn(self._check_for_crash(request.id, request.digest, target))
 
@@ -64,13 +64,13 @@
         now = read_clock()
         unreachable = state.health.count_unreachable_since(now - SIMULTANEOUS_LOSS_WINDOW_S)
         if unreachable > 1:
-            state.journal.write(
+            state.event_log.write(
                 "crash_doubted", now, id=request, target=target.id, lost_together=unreachable
             )
             return
         if state.crashes.record_crash(digest, target.id, now):
-            state.metrics.add(codes.SUSPECTS)
-            state.journal.write(
+            state.metrics.increment_counter(codes.SUSPECTS)
+            state.event_log.write(
                 "crash_counted", now, id=request, digest=digest, target=target.id, reason=reason
             )
-            await self._peers.tell(Note(crashes=[CrashNote(digest, target.id)]))
+            await self._peers.broadcast(PeerUpdate(crashes=[CrashReport(digest, target.id)]))
--- a/rhubarbbend/gateway/_instance.py
+++ b/rhubarbbend/gateway/_instance.py
@@ -15,16 +15,16 @@
 from rhubarbbend import VERSION, codes
 from rhubarbbend.core.readers import InstanceRow, ReaderSelector
 from rhubarbbend.gateway._attempts import AttemptRunner
-from rhubarbbend.gateway._crash_watch import CrashWatch
+from rhubarbbend.gateway._crash_detector import CrashDetector
+from rhubarbbend.gateway._event_log import EventLog
 from rhubarbbend.gateway._follower import StateFollower
+from rhubarbbend.gateway._in_flight_protocol import InFlightProtocol
 from rhubarbbend.gateway._interfaces import Adapter
-from rhubarbbend.gateway._journal import Journal
-from rhubarbbend.gateway._load_telling import InFlightProtocol
 from rhubarbbend.gateway._metrics import CONTENT_TYPE
 from rhubarbbend.gateway._peers import PeerClient, PeerServer
-from rhubarbbend.gateway._serving import RequestServer
+from rhubarbbend.gateway._request_server import RequestServer
 from rhubarbbend.gateway._settings import GatewaySettings, SettingsInvalid, SettingsReader
-from rhubarbbend.gateway._state import Note, State, read_clock
+from rhubarbbend.gateway._state import PeerUpdate, State, read_clock
 from rhubarbbend.http import ConnectionPool, Exchange, HttpServer, ServerLimits
 from rhubarbbend.stop_signals import STOP_SIGNALS, ignore_late_stop
 
@@ -64,7 +64,7 @@
         self,
         settings: GatewaySettings,
         adapter: Adapter,
-        journal: Journal,
+        event_log: EventLog,
         read_settings: SettingsReader,
         listener: socket | None = None,
     ) -> None:
@@ -72,17 +72,17 @@
         # Already listening since before the program was loaded; None if that was not possible.
         self._listener = listener
         self._read_settings = read_settings
-        self.state = State(settings, adapter.decoder.tables, journal)
+        self.state = State(settings, adapter.decoder.tables, event_log)
         self._adapter = adapter
-        self._journal = journal
+        self._event_log = event_log
         self._pool = ConnectionPool(TARGET_IDLE_TIMEOUT_S)
         self._peer_pool = ConnectionPool(TARGET_IDLE_TIMEOUT_S)
         attempts = AttemptRunner(self.state, self._pool, adapter.targets, read_clock)
         self._requests = RequestServer(self.state, adapter.callers, attempts, read_clock)
         selector = ReaderSelector(settings.instance, settings.zone)
         self._peers = PeerClient(self.state, self._peer_pool, selector)
-        crashes = CrashWatch(self.state, self._peers, self._spawn)
-        attempts.crash_listener = crashes.suspect
+        crashes = CrashDetector(self.state, self._peers, self._spawn)
+        attempts.on_broken_connection = crashes.handle_broken_connection
         self._follower = StateFollower(
             self.state, adapter.store, adapter.decoder, self._peers, selector
         )
@@ -150,11 +150,11 @@
     def _handle_task_done(self, task: asyncio.Task[None]) -> None:
         self._background.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.state.metrics.add(codes.INTERNAL_ERRORS)
+            self.state.metrics.increment_counter(codes.INTERNAL_ERRORS)
             self._log("internal_error", reason=repr(task.exception()))
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._journal.write(event, read_clock(), **fields)
+        self._event_log.write(event, read_clock(), **fields)
 
     # Endpoints of the platform.
 
@@ -170,19 +170,19 @@
     def _register_gauges(self) -> None:
         state = self.state
         metrics = state.metrics
-        metrics.set_gauge("open_requests", lambda: self._requests.open)
-        metrics.set_gauge("targets", state.registry.count)
-        metrics.set_gauge("instances", lambda: len(state.list_instances()))
-        metrics.set_gauge(
+        metrics.register_gauge("open_requests", lambda: self._requests.open_requests)
+        metrics.register_gauge("targets", state.registry.count)
+        metrics.register_gauge("instances", lambda: len(state.list_instance_ids()))
+        metrics.register_gauge(
             "instances_heard", lambda: state.loads.peer_counts.count_instances(read_clock())
         )
-        metrics.set_gauge("ready", lambda: float(state.ready))
-        metrics.set_gauge("store_reached", lambda: float(self._follower.is_store_reachable))
-        metrics.set_gauge("reads_store", lambda: float(self._follower.reads_store))
-        metrics.set_gauge(
+        metrics.register_gauge("ready", lambda: float(state.ready))
+        metrics.register_gauge("store_reached", lambda: float(self._follower.is_store_reachable))
+        metrics.register_gauge("reads_store", lambda: float(self._follower.reads_store))
+        metrics.register_gauge(
             "config_version", lambda: -1 if state.catalog is None else state.catalog.version
         )
-        metrics.set_gauge("log_lines_dropped", lambda: self._journal.dropped)
+        metrics.register_gauge("log_lines_dropped", lambda: self._event_log.dropped_count)
 
     # Housekeeping.
 
@@ -200,7 +200,7 @@
             pause = max(now - before, boot - before_boot) - PAUSE_CHECK_INTERVAL_S
             before, before_boot = now, boot
             if pause > MIN_PAUSE_S:
-                self.state.metrics.add(codes.PAUSES)
+                self.state.metrics.increment_counter(codes.PAUSES)
                 self._log("paused", seconds=round(pause, 3))
                 self._pool.close_all_idle()
                 self._peer_pool.close_all_idle()
@@ -213,7 +213,7 @@
             await asyncio.sleep(LOCATION_BATCH_DELAY_S)
             self._has_location_updates.clear()
             locations = self.state.placement.prompt_locations.pop_updates(read_clock())
-            await self._peers.tell(Note(locations))
+            await self._peers.broadcast(PeerUpdate(locations))
 
     async def _run_housekeeping(self) -> None:
         while True:
@@ -284,15 +284,15 @@
         stop_began_at = read_clock()
         killed_at = stop_began_at + self.settings.stop_grace - STOP_MARGIN_S
         self.state.stopping = True
-        self._log("stopping", open=self._requests.open)
+        self._log("stopping", open=self._requests.open_requests)
         self._caller_server.start_draining()
         if self.settings.peers is not None:
             self._spawn(self._follower.instance_list.leave())
         await asyncio.sleep(min(READINESS_PROPAGATION_S, self.settings.stop_grace / 3))
         self._caller_server.stop_accepting()
-        while self._requests.open and read_clock() < killed_at:
+        while self._requests.open_requests and read_clock() < killed_at:
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
-        unfinished = self._requests.open
+        unfinished = self._requests.open_requests
         if not unfinished:
             # Responses that were written may still be in transit.
             try:
@@ -302,7 +302,7 @@
                 self._log("callers_slow")
         self._follower.stop()
         self._log("stopped", cut=unfinished, after=round(read_clock() - stop_began_at, 3))
-        self._journal.close()
+        self._event_log.close()
         ignore_late_stop(asyncio.get_running_loop())
 
 
@@ -321,6 +321,6 @@
 
     `listener`, if given, is a socket that already listens on the callers' address.
     """
-    journal = Journal(settings.instance)
-    asyncio.run(Instance(settings, adapter, journal, read_settings, listener).run())
+    event_log = EventLog(settings.instance)
+    asyncio.run(Instance(settings, adapter, event_log, read_settings, listener).run())
     return 0
--- a/rhubarbbend/gateway/_instance_list.py
+++ b/rhubarbbend/gateway/_instance_list.py
@@ -16,9 +16,9 @@
 
 from rhubarbbend.core.mirror import MirroredRow
 from rhubarbbend.core.readers import RENEW_INTERVAL_S, InstanceLeaseTracker, InstanceRow
-from rhubarbbend.gateway._intake import StateUpdater
 from rhubarbbend.gateway._peers import JoinNotice, PeerClient
 from rhubarbbend.gateway._state import INSTANCE_TABLE, State, read_clock
+from rhubarbbend.gateway._state_updater import StateUpdater
 from rhubarbbend.storage import RowStore, StoreError, VersionConflict
 
 # This long interval is enough: the list only divides limits among the instances, and instances that
@@ -149,4 +149,4 @@
             self._log("row_lapsed", row=row.key)
 
     def _log(self, event: str, **fields: Any) -> None:
-        self._state.journal.write(event, read_clock(), **fields)
+        self._state.event_log.write(event, read_clock(), **fields)
--- a/rhubarbbend/gateway/_serving.py
+++ b/rhubarbbend/gateway/_request_server.py
@@ -36,7 +36,7 @@
 # the time that the store takes to return it, and the time that other instances take to send it if
 # the store does not.
 STARTUP_WAIT_S: Final = 0.8
-# At startup, a caller waits at most this fraction of its request's time limit, so that an attempt
+# At startup, a caller waits at most this fraction of its request's time-out, so that an attempt
 # at another instance can still be answered in time.
 STARTUP_WAIT_FRACTION: Final = 0.33
 # Reasons for rejecting targets that are available and will accept requests again soon.
@@ -57,15 +57,15 @@
         self._caller_protocol = caller_protocol
         self._attempts = attempts
         self._clock = clock
-        self.open = 0
+        self.open_requests = 0
 
     async def serve(self, exchange: Exchange) -> None:
         """Serve one request; this is the handler of the HTTP server for callers."""
-        self.open += 1
+        self.open_requests += 1
         now = self._clock()
-        self._state.metrics.add(codes.REQUESTS)
+        self._state.metrics.increment_counter(codes.REQUESTS)
         try:
-            if not self._state.opened.is_set():
+            if not self._state.became_ready.is_set():
                 await self._wait_until_opened(exchange, now)
             request = None if exchange.closed.is_set() else self._admit(exchange, now)
             if request is not None:
@@ -73,15 +73,15 @@
         except Exception as error:
             self._handle_internal_error(exchange, error)
         finally:
-            self.open -= 1
+            self.open_requests -= 1
             exchange.on_closed = None
 
     def _handle_internal_error(self, exchange: Exchange, error: Exception) -> None:
         """End a request after an exception in this program; the request may have run."""
-        self._state.metrics.add(codes.INTERNAL_ERRORS)
+        self._state.metrics.increment_counter(codes.INTERNAL_ERRORS)
         reason = "".join(traceback.format_exception(error)[-3:])
-        request_id = self._caller_protocol.read_id(exchange)
-        self._state.journal.write("internal_error", self._clock(), id=request_id, reason=reason)
+        request_id = self._caller_protocol.read_request_id(exchange)
+        self._state.event_log.write("internal_error", self._clock(), id=request_id, reason=reason)
         if exchange.started:
             exchange.abort()
         else:
@@ -98,25 +98,25 @@
         without a reachable store has not received it by the end of that time, and refuses requests
         at once from then on.
         """
-        time_limit = self._caller_protocol.read_time_limit(exchange)
+        caller_timeout_s = self._caller_protocol.read_timeout(exchange)
         timeout = self._state.started_at + STARTUP_WAIT_S - now
-        if time_limit is not None:
-            timeout = min(timeout, STARTUP_WAIT_FRACTION * time_limit)
+        if caller_timeout_s is not None:
+            timeout = min(timeout, STARTUP_WAIT_FRACTION * caller_timeout_s)
         if timeout <= 0.0:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
-                await self._state.opened.wait()
-        self._state.metrics.add(codes.WAITED_FOR_START)
+                await self._state.became_ready.wait()
+        self._state.metrics.increment_counter(codes.WAITED_FOR_START)
         is_gone = exchange.closed.is_set()
         if is_gone:
-            self._state.metrics.add(codes.CALLER_GONE)
-        self._state.journal.write(
+            self._state.metrics.increment_counter(codes.CALLER_GONE)
+        self._state.event_log.write(
             "waited_for_start",
             self._clock(),
-            id=self._caller_protocol.read_id(exchange),
+            id=self._caller_protocol.read_request_id(exchange),
             waited=round(self._clock() - now, 4),
-            opened=self._state.opened.is_set(),
+            opened=self._state.became_ready.is_set(),
             caller_gone=is_gone or None,
         )
 
@@ -124,7 +124,7 @@
         """Return the request if it may be sent to targets; otherwise answer it and return None."""
         catalog = self._state.catalog
         if catalog is None:
-            request_id = self._caller_protocol.read_id(exchange)
+            request_id = self._caller_protocol.read_request_id(exchange)
             self._reject(
                 exchange, request_id, codes.NOT_READY, "no configuration received yet", now
             )
@@ -132,7 +132,7 @@
         try:
             caller = self._caller_protocol.read_request(exchange)
         except BadRequest as error:
-            request_id = self._caller_protocol.read_id(exchange)
+            request_id = self._caller_protocol.read_request_id(exchange)
             self._reject(exchange, request_id, error.code, error.detail, now)
             return None
         return self._authorize_and_route(exchange, caller, catalog, now)
@@ -147,7 +147,7 @@
             return None
         account = None
         if catalog.needs_key and not route.public:
-            account = catalog.find_account(caller.key)
+            account = catalog.find_account(caller.api_key)
             if account is None:
                 detail = f"unknown API key in configuration version {catalog.version}"
                 self._reject(exchange, caller.id, codes.UNAUTHORIZED, detail, now)
@@ -172,7 +172,7 @@
         if self._state.crashes.is_refused(request.digest, now):
             self._refuse(request, codes.CRASHES_TARGETS, now)
             return None
-        self._state.find_retries(service.name).record_request(now)
+        self._state.get_retry_budget_share(service.name).record_request(now)
         return request
 
     # Delivery.
@@ -186,7 +186,7 @@
             # finish, since it could otherwise be partly executed.
             request.exchange.on_closed = task.cancel
         elif await _is_disconnected(request.exchange):
-            self._state.metrics.add(codes.CALLER_GONE)
+            self._state.metrics.increment_counter(codes.CALLER_GONE)
             self._log_end(request, "caller_gone", 0)
             return
         try:
@@ -198,7 +198,7 @@
             if not request.exchange.closed.is_set():
                 raise
             task.uncancel()
-            self._state.metrics.add(codes.CALLER_GONE)
+            self._state.metrics.increment_counter(codes.CALLER_GONE)
             self._log_end(request, "caller_gone", 0)
 
     async def _try_targets(self, request: OpenRequest) -> None:
@@ -209,7 +209,7 @@
                 request.service,
                 request.caller.prompt,
                 request.excluded,
-                self._state.list_instances(),
+                self._state.list_instance_ids(),
                 self._state.random,
                 now,
             )
@@ -217,7 +217,7 @@
                 request.rejection_counts = dict(self._state.placement.last_rejections)
                 self._finish_failed(request, self._select_refusal(request.rejection_counts))
                 return
-            self._state.metrics.add(f"routed.{choice.reason.value}")
+            self._state.metrics.increment_counter(f"routed.{choice.reason.value}")
             request.excluded.add(choice.target.id)
             try:
                 outcome = await self._attempts.run(request, choice)
@@ -242,7 +242,7 @@
         step = decide_step(request.route, outcome, request.progress)
         if step.retry:
             if outcome is not AttemptOutcome.UNREACHED:
-                self._state.metrics.add(f"retry.{outcome.value}")
+                self._state.metrics.increment_counter(f"retry.{outcome.value}")
             return True
         if step.code is None:
             self._finish_answered(request, outcome)
@@ -254,7 +254,7 @@
         if not request.progress.started and request.fallback_answer is not None:
             send_answer(request, request.fallback_answer)
         now = self._clock()
-        self._state.metrics.add(codes.ANSWERS)
+        self._state.metrics.increment_counter(codes.ANSWERS)
         self._state.metrics.observe("answer", request.route.kind.value, now - request.arrived_at)
         status = 0 if request.answer is None else request.answer.status
         self._log_end(
@@ -277,7 +277,7 @@
         if request.progress.started:
             # Ending the message normally would make the partial answer look complete.
             request.exchange.abort_after_flush()
-            self._state.metrics.add(codes.ANSWERS_CUT)
+            self._state.metrics.increment_counter(codes.ANSWERS_CUT)
             self._log_end(request, f"cut: {code.name}", 0)
             return
         if request.fallback_answer is not None:
@@ -296,7 +296,7 @@
         )
         retry_after *= self._state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
         self._write_error(request.exchange, request.id, code, verdict, retry_after)
-        self._state.metrics.add(f"refused.{code.name}")
+        self._state.metrics.increment_counter(f"refused.{code.name}")
         self._log_end(request, f"refused: {code.name}", code.status, verdict, retry_after)
 
     def _reject(
@@ -305,8 +305,8 @@
         """Refuse a request that is invalid, or for which there is no route, account or service."""
         retry_after = code.retry_after * self._state.random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0)
         self._write_error(exchange, request_id, code, Verdict.NOT_RUN, retry_after)
-        self._state.metrics.add(f"refused.{code.name}")
-        self._state.journal.write(
+        self._state.metrics.increment_counter(f"refused.{code.name}")
+        self._state.event_log.write(
             "rejected",
             now,
             id=request_id,
@@ -324,7 +324,7 @@
         verdict: Verdict,
         retry_after: float,
     ) -> None:
-        status, headers, body = self._caller_protocol.make_error(
+        status, headers, body = self._caller_protocol.make_error_response(
             code, verdict, retry_after, request_id
         )
         exchange.respond(status, headers, body)
@@ -339,7 +339,7 @@
     ) -> None:
         now = self._clock()
         target = request.attempt_target
-        self._state.journal.write(
+        self._state.event_log.write(
             "ended",
             now,
             id=request.id,
