--- a/rhubarbbend/gateway/_attempts.py
+++ b/rhubarbbend/gateway/_attempts.py
@@ -259,7 +259,7 @@
         timeout_policy = self._make_timeout_policy(request, target)
         started_at = self._clock()
         while True:
-            timeout = timeout_policy.compute_remaining_s(self._clock() - started_at)
+            timeout = timeout_policy.compute_remaining(self._clock() - started_at)
             try:
                 return await connection.receive_head(timeout)
             except HttpFailure as failure:
@@ -268,7 +268,7 @@
                 is_silent = failure.reason == REASON_TIMEOUT and not connection.closed
                 if (
                     not is_silent
-                    or timeout_policy.compute_remaining_s(self._clock() - started_at) <= 0.0
+                    or timeout_policy.compute_remaining(self._clock() - started_at) <= 0.0
                 ):
                     raise
 
--- a/rhubarbbend/gateway/_liveness.py
+++ b/rhubarbbend/gateway/_liveness.py
@@ -131,7 +131,7 @@
         self._pause_timeouts = latencies.compute_pause_timeouts(request.route)
         self._clock = clock
 
-    def compute_remaining_s(self, silence: float) -> float:
+    def compute_remaining(self, silence: float) -> float:
         """Return how many more seconds to wait after `silence` seconds; 0 to give up.
 
         The target is probed if the time-outs demand it.
--- a/rhubarbbend/http/_body_forwarder.py
+++ b/rhubarbbend/http/_body_forwarder.py
@@ -44,7 +44,7 @@
     """Decides how long to wait for a body that makes no progress."""
 
     @abc.abstractmethod
-    def compute_remaining_s(self, silence: float) -> float:
+    def compute_remaining(self, silence: float) -> float:
         """Return how many more seconds to wait after `silence` seconds without data.
 
         The body fails if the result is 0 or negative.
@@ -57,7 +57,7 @@
     def __init__(self, limit: float) -> None:
         self._limit = limit
 
-    def compute_remaining_s(self, silence: float) -> float:
+    def compute_remaining(self, silence: float) -> float:
         """Return the rest of the fixed time."""
         return self._limit - silence
 
@@ -147,7 +147,7 @@
 
     def _check_progress(self) -> None:
         """Fail a body that makes no progress, unless reading it is paused."""
-        remaining = self._timeout_policy.compute_remaining_s(
+        remaining = self._timeout_policy.compute_remaining(
             self._loop.time() - self._protocol.last_received_at
         )
         if self._drain_task is None and remaining <= 0.0:
