--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -40,8 +40,8 @@
     file = {**FILE, "advertise": {"control": "10.9.0.1:99"}}
     settings = decode_settings(json.dumps(file).encode())
     assert settings.peers == ("10.1.0.40", 8229)
-    assert settings.reached_at == ("10.9.0.1", 99)
-    assert decode_settings(json.dumps(FILE).encode()).reached_at == ("10.1.0.40", 8229)
+    assert settings.peer_address == ("10.9.0.1", 99)
+    assert decode_settings(json.dumps(FILE).encode()).peer_address == ("10.1.0.40", 8229)
 
 
 def test_no_peer_address_without_a_control_address() -> None:
