--- a/loadtool/_soak_checks.py
+++ b/loadtool/_soak_checks.py
@@ -12,7 +12,7 @@
 import attrs
 
 from loadtool._soak_schedule import FaultScope, ScheduledSoakFault, SoakFault
-from standins._worker import Arrival, make_body, make_event
+from standins._worker import Arrival, make_response_body, make_stream_event
 
 # The shortest limits among the known deployments: after this time a change of configuration is in
 # force, and a draining target or the targets of an evacuated zone get no more requests.
@@ -134,9 +134,11 @@
     """Check that a complete success was produced by a target and answers this request."""
     if not 200 <= outcome.status < 300 or not outcome.whole:
         return
-    expected = make_body(outcome.body, outcome.path)
+    expected = make_response_body(outcome.body, outcome.path)
     if outcome.path.endswith("stream"):
-        expected = b"".join(make_event(outcome.body, n) for n in range(1, STREAM_EVENT_COUNT + 1))
+        expected = b"".join(
+            make_stream_event(outcome.body, n) for n in range(1, STREAM_EVENT_COUNT + 1)
+        )
     if not outcome.sealed or outcome.answer != expected:
         yield f"mixed: {outcome.id} ({outcome.kind}) got the wrong answer {outcome.answer[:80]!r}"
 
--- a/standins/_worker.py
+++ b/standins/_worker.py
@@ -94,13 +94,13 @@
     cancelled: int = 0
 
 
-def make_event(body: bytes, number: int) -> bytes:
+def make_stream_event(body: bytes, number: int) -> bytes:
     """Return event `number` of the stream that responds to a request with this body."""
     data = hashlib.blake2b(body + str(number).encode(), digest_size=6).hexdigest()
     return f"id: {number}\ndata: {data}\n\n".encode()
 
 
-def make_body(body: bytes, target: str) -> bytes:
+def make_response_body(body: bytes, target: str) -> bytes:
     """Return the whole response body to a request with this body and target."""
     return hashlib.blake2b(body + target.encode(), digest_size=32).hexdigest().encode()
 
@@ -246,7 +246,9 @@
             return _send_response(conn, writer, faults.status, response_headers, b"failed")
         if target.partition("?")[0].endswith("stream"):
             return await self._send_stream(conn, response_headers, headers, body, writer)
-        return self._send_complete_response(conn, response_headers, make_body(body, target), writer)
+        return self._send_complete_response(
+            conn, response_headers, make_response_body(body, target), writer
+        )
 
     def _send_complete_response(
         self,
@@ -292,7 +294,7 @@
         content_type = ("Content-Type", "text/event-stream")
         writer.write(conn.send(_make_response_head(200, [*response_headers, content_type])) or b"")
         for number in range(first_number, faults.events + 1):
-            event = make_event(body, number)
+            event = make_stream_event(body, number)
             events_sent = number - first_number
             if events_sent == faults.cut_after:
                 writer.write(conn.send(h11.Data(data=event[:8])) or b"")
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins._worker import make_body, make_event
+from standins._worker import make_response_body, make_stream_event
 from tests.gateway.harness import Fleet, Reply, run, start_fleet, wait_until
 
 PROMPT = "aa11:400,bb22:9000,cc33:120"
@@ -19,7 +19,7 @@
 
 
 def join_events(body: bytes, first: int = 1, last: int = EVENTS) -> bytes:
-    return b"".join(make_event(body, number) for number in range(first, last + 1))
+    return b"".join(make_stream_event(body, number) for number in range(first, last + 1))
 
 
 async def wait_until_one_engine_runs(fleet: Fleet) -> tuple[str, str]:
@@ -45,7 +45,7 @@
             for number in range(6):
                 path = f"/read/{number}"
                 reply = await fleet.ask(path)
-                assert (reply.status, reply.body) == (200, make_body(b"", path))
+                assert (reply.status, reply.body) == (200, make_response_body(b"", path))
 
     run(work)
 
@@ -80,7 +80,7 @@
         async with start_fleet(tmp_path, instances=1, plains=1, engines=1) as fleet:
             await fleet.set_worker("plain-0", unframed=True)
             reply = await fleet.ask("/read/x")
-            assert (reply.status, reply.body) == (200, make_body(b"", "/read/x"))
+            assert (reply.status, reply.body) == (200, make_response_body(b"", "/read/x"))
 
     run(work)
 
--- a/tests/gateway/test_path.py
+++ b/tests/gateway/test_path.py
@@ -7,7 +7,7 @@
 
 from pathlib import Path
 
-from standins._worker import make_body, make_event
+from standins._worker import make_response_body, make_stream_event
 from tests.gateway.harness import ACCOUNT, make_config, run, start_fleet, wait_until
 
 PROMPT = "aa11:400,bb22:9000,cc33:120"
@@ -18,12 +18,12 @@
         async with start_fleet(tmp_path) as fleet:
             read = await fleet.ask("/read/plot?id=7")
             assert (read.status, read.whole) == (200, True)
-            assert read.body == make_body(b"", "/read/plot?id=7")
+            assert read.body == make_response_body(b"", "/read/plot?id=7")
             assert read.headers["response-seal"].startswith("seal-plain")
             booked = await fleet.ask("/book/plot", b"tent 4")
-            assert booked.body == make_body(b"tent 4", "/book/plot")
+            assert booked.body == make_response_body(b"tent 4", "/book/plot")
             chat = await fleet.ask("/chat/stream", b"hello", Prefix_Hash=PROMPT, Model="m")
-            assert chat.body == b"".join(make_event(b"hello", n) for n in range(1, 6))
+            assert chat.body == b"".join(make_stream_event(b"hello", n) for n in range(1, 6))
 
     run(work)
 
--- a/tests/loadtool/test_soak.py
+++ b/tests/loadtool/test_soak.py
@@ -14,7 +14,7 @@
 from loadtool._soak import format_result, make_soak_layout, run_soak
 from loadtool._soak_checks import Period, RequestOutcome, RunRecord, find_violations
 from loadtool._soak_schedule import ScheduledSoakFault, SoakFault, make_soak_schedule
-from standins._worker import Arrival, make_body
+from standins._worker import Arrival, make_response_body
 
 DURATION = 25.0
 INSTANCE_COUNT = 6
@@ -32,7 +32,7 @@
 def make_outcome(**changes: object) -> RequestOutcome:
     outcome = RequestOutcome("r1", "book", "front-0", "key", PATH, BODY, 110.0, 110.1)
     outcome.status, outcome.sealed, outcome.whole = 200, True, True
-    outcome.answer = make_body(BODY, PATH)
+    outcome.answer = make_response_body(BODY, PATH)
     for name, value in changes.items():
         setattr(outcome, name, value)
     return outcome
