--- a/loadtool/_analysis.py
+++ b/loadtool/_analysis.py
@@ -30,7 +30,7 @@
 
 def is_served_well(request: SentRequest) -> bool:
     """Return whether the caller got its complete, right answer with a timely first byte."""
-    return request.answer.good and request.answer.first_byte <= MAX_GOOD_FIRST_BYTE_S
+    return request.answer.is_correct and request.answer.first_byte <= MAX_GOOD_FIRST_BYTE_S
 
 
 def compute_reuse(samples: Sequence[EngineSample], begin: float, end: float) -> float:
@@ -113,24 +113,26 @@
     inside = [sample for sample in samples if phase.begin <= sample.at < phase.end]
     skews = sorted(compute_skew(sample, excluded) for sample in inside) or [1.0]
     excesses = compute_excesses(inside, excluded, service) or [0]
-    good = [request.answer for request in chats if request.answer.good]
+    correct_answers = [request.answer for request in chats if request.answer.is_correct]
     return PhaseResult(
         name=phase.name,
         seconds=phase.end - phase.begin,
         requests=len(phase_requests),
-        served=sum(request.answer.good for request in phase_requests),
+        served=sum(request.answer.is_correct for request in phase_requests),
         served_late=sum(
-            request.answer.good and not is_served_well(request) for request in phase_requests
+            request.answer.is_correct and not is_served_well(request) for request in phase_requests
         ),
-        reuse=_compute_answer_reuse(good),
+        reuse=_compute_answer_reuse(correct_answers),
         reuse_bound=bound.reuse,
         skew_p50=skews[len(skews) // 2],
         skew_p95=skews[int(len(skews) * 0.95)],
         skew_max=skews[-1],
         over_share=sum(excess > 0 for excess in excesses) / len(excesses),
         over_most=max(excesses),
-        first_byte=Histogram(answer.first_byte for answer in good).compute_quantiles(),
-        gap=Histogram(gap for answer in good for gap in answer.chunk_gaps).compute_quantiles(),
+        first_byte=Histogram(answer.first_byte for answer in correct_answers).compute_quantiles(),
+        gap=Histogram(
+            gap for answer in correct_answers for gap in answer.chunk_gaps
+        ).compute_quantiles(),
     )
 
 
@@ -159,7 +161,7 @@
         dip_seconds=BIN_S * sum(share < MIN_SERVED_WELL_FRACTION for share in shares),
         last_new_work=_compute_last_new_work(engines, out_of_service_at, in_service_at, samples),
         first_work_back=_compute_first_work_back(engines, in_service_at, samples),
-        lost=sum(not request.answer.good for request in during),
+        lost=sum(not request.answer.is_correct for request in during),
     )
 
 
@@ -208,7 +210,7 @@
         end = begin + BIN_S
         bin_requests = [request for request in requests if begin <= request.at < end]
         first_byte_times = [
-            request.answer.first_byte for request in bin_requests if request.answer.good
+            request.answer.first_byte for request in bin_requests if request.answer.is_correct
         ]
         skews = [compute_skew(s, excluded) for s in samples if begin <= s.at < end]
         series.at.append(begin)
@@ -226,7 +228,7 @@
     """Count the requests without a right answer by kind and by refusal code or failure."""
     reasons: Counter[str] = Counter()
     for request in requests:
-        if not request.answer.good:
+        if not request.answer.is_correct:
             why = request.answer.code or request.answer.failure or "wrong or cut answer"
             reasons[f"{request.kind}: {why}"] += 1
     return dict(reasons)
--- a/loadtool/_answer_log.py
+++ b/loadtool/_answer_log.py
@@ -24,7 +24,7 @@
     @property
     def was_answered(self) -> bool:
         """Whether a caller got a complete, right answer."""
-        return any(answer.good for answer in self.answers)
+        return any(answer.is_correct for answer in self.answers)
 
     @property
     def is_final_not_run(self) -> bool:
@@ -49,9 +49,9 @@
     def record_answer(self, answer: Answer) -> None:
         """Record an answer."""
         self.requests += 1
-        if answer.good:
+        if answer.is_correct:
             self.good_count += 1
-        elif answer.wrong:
+        elif answer.is_incorrect:
             self.wrong_answers.append(answer)
         elif answer.code:
             self.refusals[answer.code] += 1
--- a/loadtool/_caller.py
+++ b/loadtool/_caller.py
@@ -20,15 +20,15 @@
 class Answer:
     """The answer to a request, as the caller received it.
 
-    `whole` is set if it was received to its end, `right` if its body is the one that the request
-    must get; the caller decides both by itself. `first_byte` and `total` are seconds since the
-    start of the request, `chunk_gaps` the seconds between consecutive parts of the body. `failure`
-    is the reason why there is no complete answer.
+    `complete` is set if it was received to its end, `body_matches` if its body is the one that the
+    request must get; the caller decides both by itself. `first_byte` and `total` are seconds since
+    the start of the request, `chunk_gaps` the seconds between consecutive parts of the body.
+    `failure` is the reason why there is no complete answer.
     """
 
     status: int = 0
-    whole: bool = False
-    right: bool = False
+    complete: bool = False
+    body_matches: bool = False
     code: str = ""
     verdict: str = ""
     attempt: str = ""
@@ -44,14 +44,14 @@
     failure: str = ""
 
     @property
-    def good(self) -> bool:
-        """Whether it is complete, right and has status 200."""
-        return self.status == 200 and self.whole and self.right
+    def is_correct(self) -> bool:
+        """Whether it is complete, has the body that its request must get, and has status 200."""
+        return self.status == 200 and self.complete and self.body_matches
 
     @property
-    def wrong(self) -> bool:
+    def is_incorrect(self) -> bool:
         """Whether it is complete with status 200, but not the answer to its request."""
-        return self.status == 200 and self.whole and not self.right
+        return self.status == 200 and self.complete and not self.body_matches
 
 
 @attrs.define(slots=True)
@@ -64,7 +64,7 @@
     ticket: str = ""
     turns: int = 0
 
-    def ask(self, text: str) -> None:
+    def add_user_message(self, text: str) -> None:
         """Append a message of the user to the history."""
         self.messages.append(Message("user", text))
 
@@ -83,13 +83,13 @@
         self._key = key
         self._next = 0
 
-    def pick(self) -> Address:
+    def select_instance(self) -> Address:
         """Return the next instance, as a round-robin load balancer does."""
         addresses = self._addresses()
         self._next += 1
         return addresses[self._next % len(addresses)]
 
-    async def ask_chat(
+    async def send_chat(
         self,
         chat: Chat,
         max_tokens: int,
@@ -99,7 +99,7 @@
     ) -> Answer:
         """Send the history of a chat and check the answer word by word.
 
-        A right answer is appended to the history. `deadline` is in seconds.
+        A correct answer is appended to the history. `deadline` is in seconds.
         """
         body = {
             "model": chat.model,
@@ -122,11 +122,11 @@
             address,
             deadline + 5.0,
         )
-        if answer.status == 200 and answer.whole:
+        if answer.status == 200 and answer.complete:
             expected = "".join(make_completion_words(chat.messages, max_tokens))
             text = _read_streamed_completion(answer) if stream else _read_json_completion(answer)
-            answer.right = text == expected
-            if answer.right:
+            answer.body_matches = text == expected
+            if answer.body_matches:
                 chat.add_answer(expected, answer.ticket)
         return answer
 
@@ -144,8 +144,8 @@
         """
         headers = [("Idempotency-Key", key), ("Rhubarbbend-Deadline", str(deadline))]
         answer = await self.send("POST", path, headers, body, address, deadline + 5.0)
-        if answer.status == 200 and answer.whole:
-            answer.right = _read_json_field(answer.body, "key") == key
+        if answer.status == 200 and answer.complete:
+            answer.body_matches = _read_json_field(answer.body, "key") == key
         return answer
 
     async def look_up(
@@ -154,9 +154,9 @@
         """Send a lookup and check that the answer is for this path; `deadline` is in seconds."""
         headers = [("Rhubarbbend-Deadline", str(deadline))]
         answer = await self.send("GET", path, headers, b"", address, deadline + 5.0)
-        if answer.status == 200 and answer.whole:
+        if answer.status == 200 and answer.complete:
             expected_path = "/" + path.split("/", 2)[2]
-            answer.right = _read_json_field(answer.body, "path") == expected_path
+            answer.body_matches = _read_json_field(answer.body, "path") == expected_path
         return answer
 
     async def reserve_keys(self, count: int, address: Address | None = None) -> list[str]:
@@ -191,7 +191,9 @@
         connection: Connection | None = None
         try:
             async with asyncio.timeout(timeout):
-                connection = await Connection.open(address or self.pick(), CONNECT_TIMEOUT_S)
+                connection = await Connection.open(
+                    address or self.select_instance(), CONNECT_TIMEOUT_S
+                )
                 all_headers = [("Authorization", f"Bearer {self._key}"), *headers]
                 await connection.send(method, path, all_headers, body)
                 response = await connection.receive_head(timeout)
@@ -205,7 +207,7 @@
             if connection is not None:
                 connection.close()
         answer.total = time.perf_counter() - started
-        if answer.status != 200 and answer.whole:
+        if answer.status != 200 and answer.complete:
             _read_error_code(answer)
         return answer
 
@@ -234,7 +236,7 @@
         previous_at = now
         parts.append(part)
     answer.body = b"".join(parts)
-    answer.whole = True
+    answer.complete = True
 
 
 def _read_streamed_completion(answer: Answer) -> str:
@@ -252,7 +254,7 @@
         words.append(chunk["choices"][0]["delta"].get("content", ""))
         if chunk.get("usage"):
             _read_usage(answer, chunk["usage"])
-    answer.whole = has_end_marker
+    answer.complete = has_end_marker
     return "".join(words)
 
 
--- a/loadtool/_chaos.py
+++ b/loadtool/_chaos.py
@@ -103,11 +103,13 @@
         chats = [Chat(f"chat-{worker}-{i}", "camp-large") for i in range(4)]
         while time.monotonic() < until:
             chat = rng.choice(chats)
-            chat.ask(f"{chat.id} turn {chat.turns}: " + "tent ghat ration " * rng.randrange(5, 60))
+            chat.add_user_message(
+                f"{chat.id} turn {chat.turns}: " + "tent ghat ration " * rng.randrange(5, 60)
+            )
             stream = rng.random() < 0.8
-            answer = await self.chats.ask_chat(chat, rng.randrange(4, 60), stream, deadline=15.0)
+            answer = await self.chats.send_chat(chat, rng.randrange(4, 60), stream, deadline=15.0)
             self._answer_log.record_answer(answer)
-            if not answer.good:
+            if not answer.is_correct:
                 chat.messages.pop()
                 chat.ticket = "" if rng.random() < 0.2 else chat.ticket
             await asyncio.sleep(rng.uniform(0.02, 0.2))
@@ -134,7 +136,7 @@
             # Half of the commands with the verdict "not run" are not sent again, so that this
             # verdict stays final and can be checked.
             given_up = answer.verdict == "not_run" and rng.random() < 0.5
-            if answer.good or given_up:
+            if answer.is_correct or given_up:
                 return
             await asyncio.sleep(max(answer.retry_after, 0.2))
 
@@ -234,14 +236,14 @@
     answers: list[Answer] = []
     for number in range(RECOVERY_REQUESTS // 3):
         chat = Chat(f"recovery-{number}", "camp-large")
-        chat.ask("is the plot free?")
+        chat.add_user_message("is the plot free?")
         unique_suffix = time.time_ns()
         answers += await asyncio.gather(
-            load.chats.ask_chat(chat, 4),
+            load.chats.send_chat(chat, 4),
             load.commands.send_command("/booking/bookings", f"recovery-{unique_suffix}", b"{}"),
             load.commands.look_up(f"/booking/plots/{number}"),
         )
-    return [answer for answer in answers if not answer.good]
+    return [answer for answer in answers if not answer.is_correct]
 
 
 async def run_chaos(seed: int, duration: float, folder: Path) -> ChaosResult:
--- a/loadtool/_demo.py
+++ b/loadtool/_demo.py
@@ -42,9 +42,9 @@
     def record_answer(self, answer: Answer) -> None:
         """Record one answer."""
         self.requests += 1
-        self.whole += answer.good
-        self.wrong += answer.wrong
-        if answer.good:
+        self.whole += answer.is_correct
+        self.wrong += answer.is_incorrect
+        if answer.is_correct:
             self.first_byte_times.append(answer.first_byte)
             self.prompt_tokens += answer.prompt_tokens
             self.cached_tokens += answer.cached_tokens
@@ -74,12 +74,14 @@
     while time.monotonic() < until:
         chat = rng.choice(chats)
         if not chat.messages:
-            chat.ask(f"group {chat.id} history: " + "tent ghat ration " * rng.randrange(20, 200))
+            chat.add_user_message(
+                f"group {chat.id} history: " + "tent ghat ration " * rng.randrange(20, 200)
+            )
         else:
-            chat.ask(f"and what of day {chat.turns}?")
-        answer = await caller.ask_chat(chat, rng.randrange(4, 40), stream=rng.random() < 0.8)
+            chat.add_user_message(f"and what of day {chat.turns}?")
+        answer = await caller.send_chat(chat, rng.randrange(4, 40), stream=rng.random() < 0.8)
         stats.record_answer(answer)
-        if not answer.good:
+        if not answer.is_correct:
             chat.messages.pop()
         await asyncio.sleep(rng.uniform(0.05, 0.4))
 
--- a/loadtool/_measure.py
+++ b/loadtool/_measure.py
@@ -132,7 +132,7 @@
             options.seconds,
             TIME_SCALE_FACTOR,
             requests=len(load.requests),
-            wrong=sum(request.answer.wrong for request in load.requests),
+            wrong=sum(request.answer.is_incorrect for request in load.requests),
             phases=phases,
             zone=_analysis.compute_zone_result(
                 scenario.zone,
@@ -159,8 +159,10 @@
         seconds = self._options.seconds
         while load.now() < seconds:
             phase = next((p.name for p in self._phases if load.now() < p.end), "")
-            good = sum(request.answer.good for request in load.requests)
-            self._print_status(f"{load.now():4.0f} of {seconds:.0f} s, {phase}: {good} answers")
+            correct_count = sum(request.answer.is_correct for request in load.requests)
+            self._print_status(
+                f"{load.now():4.0f} of {seconds:.0f} s, {phase}: {correct_count} answers"
+            )
             await asyncio.sleep(min(PROGRESS_INTERVAL_S, max(0.1, seconds - load.now())))
 
     def _print_status(self, text: str) -> None:
--- a/loadtool/_probes.py
+++ b/loadtool/_probes.py
@@ -30,7 +30,7 @@
 
     def record_answer(self, answer: Answer) -> None:
         """Record the times of an answer; ignore one that is incomplete or not right."""
-        if answer.good:
+        if answer.is_correct:
             self.first_byte.record(answer.first_byte)
             for gap in answer.chunk_gaps[: PROBE_ANSWER_WORDS - 1]:
                 self.gap.record(gap)
@@ -68,5 +68,5 @@
         for times, address in paths:
             self._sent += 1
             chat = Chat(f"probe-{self._sent}", fleet.deployment.model)
-            chat.ask(f"{PROBE_TEXT}{self._sent}")
-            times.record_answer(await caller.ask_chat(chat, PROBE_ANSWER_WORDS, address=address))
+            chat.add_user_message(f"{PROBE_TEXT}{self._sent}")
+            times.record_answer(await caller.send_chat(chat, PROBE_ANSWER_WORDS, address=address))
--- a/loadtool/_relay_cost.py
+++ b/loadtool/_relay_cost.py
@@ -69,9 +69,9 @@
     async def run_one(number: int) -> None:
         async with semaphore:
             chat = Chat(f"{name}-{number}", TENGRI.model)
-            chat.ask(f"tell me of plot {number}")
-            answer = await caller.ask_chat(chat, answer_words)
-            if not answer.good:
+            chat.add_user_message(f"tell me of plot {number}")
+            answer = await caller.send_chat(chat, answer_words)
+            if not answer.is_correct:
                 raise RuntimeError(
                     f"stream failed: status {answer.status}, code {answer.code}, {answer.failure}"
                 )
--- a/loadtool/_slopes_wire.py
+++ b/loadtool/_slopes_wire.py
@@ -57,9 +57,9 @@
     async def send_chat(number: int) -> None:
         async with semaphore:
             chat = Chat(f"{prefix}-{number}", MODEL)
-            chat.ask("which plots are free by the ghat? ")
-            answer = await caller.ask_chat(chat, tokens)
-            if not answer.good:
+            chat.add_user_message("which plots are free by the ghat? ")
+            answer = await caller.send_chat(chat, tokens)
+            if not answer.is_correct:
                 raise RuntimeError(
                     f"a measured request failed, expected a complete right answer: {answer}"
                 )
--- a/loadtool/_workload.py
+++ b/loadtool/_workload.py
@@ -87,7 +87,7 @@
         await asyncio.sleep(rng.uniform(0.0, self._ramp_s))
         while self.now() < self._duration_s:
             low, high = kind.question_tokens if chat.turns else kind.history_tokens
-            chat.ask(f"{chat.id} {_generate_text(rng, rng.randint(low, high))}")
+            chat.add_user_message(f"{chat.id} {_generate_text(rng, rng.randint(low, high))}")
             if rng.random() < TICKET_LOSS_FRACTION:
                 chat.ticket = ""
             if not await self._send_turn(chat, caller, rng.randint(*kind.answer_words), kind.name):
@@ -99,12 +99,12 @@
     async def _send_turn(self, chat: Chat, caller: Caller, words: int, kind: str) -> bool:
         at = self.now()
         length = len(chat.messages)
-        answer = await caller.ask_chat(chat, words, deadline=CHAT_DEADLINE_S)
+        answer = await caller.send_chat(chat, words, deadline=CHAT_DEADLINE_S)
         self.requests.append(SentRequest(at, kind, answer))
         answer.body = b""
-        if answer.good:
+        if answer.is_correct:
             self.served_turns.append(ServedTurn(at, chat.id, chat.messages, length))
-        return answer.good
+        return answer.is_correct
 
     def _make_caller(self, rng: random.Random) -> Caller:
         """Return a caller of a random account; account n gets 1/n of the load of the first."""
--- a/tests/fleet/instance_helpers.py
+++ b/tests/fleet/instance_helpers.py
@@ -70,9 +70,9 @@
         while self.running:
             number += 1
             chat = Chat(f"{name}-{number}", "camp-large")
-            chat.ask(f"which plots are free, asks {name}?")
+            chat.add_user_message(f"which plots are free, asks {name}?")
             started_at = time.time()
-            self.answers.append((started_at, await caller.ask_chat(chat, max_tokens)))
+            self.answers.append((started_at, await caller.send_chat(chat, max_tokens)))
 
     async def run_commands(self, caller: Caller, name: str) -> None:
         """Send booking commands one after the other, each under a new key."""
@@ -88,7 +88,7 @@
     @property
     def failed_answers(self) -> list[Answer]:
         """Answers that are not complete and correct with status 200."""
-        return [answer for _, answer in self.answers if not answer.good]
+        return [answer for _, answer in self.answers if not answer.is_correct]
 
 
 @asynccontextmanager
--- a/tests/fleet/load_helpers.py
+++ b/tests/fleet/load_helpers.py
@@ -26,13 +26,13 @@
     @property
     def good_count(self) -> int:
         """Number of answers that are complete and correct."""
-        return sum(answer.good for answer in self.answers)
+        return sum(answer.is_correct for answer in self.answers)
 
     def count_failures(self) -> dict[str, int]:
         """Count the failed answers by refusal code, or by failure if there is no code."""
         counts: dict[str, int] = {}
         for answer in self.answers:
-            if not answer.good:
+            if not answer.is_correct:
                 reason = answer.code or answer.failure or "cut"
                 counts[reason] = counts.get(reason, 0) + 1
         return counts
@@ -52,10 +52,10 @@
     """
     while True:
         chat = Chat(chat_id, MODEL)
-        chat.ask("which plots are free by the ghat?")
-        answer = await caller.ask_chat(chat, max_tokens, address=address, deadline=deadline)
+        chat.add_user_message("which plots are free by the ghat?")
+        answer = await caller.send_chat(chat, max_tokens, address=address, deadline=deadline)
         results.answers.append(answer)
-        if not answer.good:
+        if not answer.is_correct:
             await asyncio.sleep(0.05)
 
 
--- a/tests/fleet/test_answers.py
+++ b/tests/fleet/test_answers.py
@@ -27,7 +27,7 @@
 def make_chat(name: str) -> Chat:
     """Return a chat with one question."""
     chat = Chat(name, "camp-large")
-    chat.ask(f"{name}: which plots are free by the ghat? " * 5)
+    chat.add_user_message(f"{name}: which plots are free by the ghat? " * 5)
     return chat
 
 
@@ -60,8 +60,8 @@
             (engine,) = list_engines(cluster)
             for number, cut in enumerate((0, 1, 150, 401)):
                 await cluster.set_faults(engine, cut_after=cut)
-                answer = await caller.ask_chat(make_chat(f"cut-{number}"), 20, stream=stream)
-                assert answer.good, answer
+                answer = await caller.send_chat(make_chat(f"cut-{number}"), 20, stream=stream)
+                assert answer.is_correct, answer
             assert await sum_engine_stat(cluster, "requests") == 4
             assert await sum_engine_stat(cluster, "resumed") == 4
 
@@ -81,8 +81,8 @@
             (engine,) = list_engines(cluster)
             for stream in (True, False):
                 await cluster.set_faults(engine, wrong_id=True)
-                answer = await caller.ask_chat(make_chat(f"own-{stream}"), 10, stream=stream)
-                assert answer.good, answer
+                answer = await caller.send_chat(make_chat(f"own-{stream}"), 10, stream=stream)
+                assert answer.is_correct, answer
             assert await sum_engine_stat(cluster, "requests") == 2
 
     run_with_timeout(work)
@@ -102,7 +102,7 @@
         ) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
-            pending_answer = asyncio.create_task(caller.ask_chat(make_chat("dying"), 60))
+            pending_answer = asyncio.create_task(caller.send_chat(make_chat("dying"), 60))
 
             async def is_streaming() -> bool:
                 return await sum_engine_stat(cluster, "completion_tokens") >= 5
@@ -110,7 +110,7 @@
             await wait_until("the engine streams its answer", is_streaming)
             await engine.process.kill()
             answer = await pending_answer
-            assert not answer.whole and not answer.good, answer
+            assert not answer.complete and not answer.is_correct, answer
             assert answer.status == 200 and answer.failure
 
     run_with_timeout(work)
@@ -132,19 +132,19 @@
         ) as cluster:
             caller = make_caller(cluster)
             (engine,) = list_engines(cluster)
-            assert (await caller.ask_chat(make_chat("warm"), 3)).good
+            assert (await caller.send_chat(make_chat("warm"), 3)).is_correct
             if moment == "before_head":
                 await cluster.set_faults(engine, stall=1.0)
             if moment == "idle":
                 await freeze_target_connections(cluster)
-            pending_answer = asyncio.create_task(caller.ask_chat(make_chat("silent"), 40))
+            pending_answer = asyncio.create_task(caller.send_chat(make_chat("silent"), 40))
             if moment != "idle":
                 await wait_for_started_requests(cluster, 2)
                 if moment == "in_stream":
                     await asyncio.sleep(0.3)
                 await freeze_target_connections(cluster)
             answer = await pending_answer
-            assert answer.good, answer
+            assert answer.is_correct, answer
             assert answer.total < 9.0, answer
             assert await sum_engine_stat(cluster, "requests") == 2
 
@@ -161,10 +161,10 @@
     async def work() -> None:
         async with start_fleet(tmp_path, zones=1, engines=0) as cluster:
             caller = make_caller(cluster)
-            assert (await caller.look_up("/booking/plots/1")).good
+            assert (await caller.look_up("/booking/plots/1")).is_correct
             await freeze_target_connections(cluster)
             answer = await caller.look_up("/booking/plots/2")
-            assert answer.good, answer
+            assert answer.is_correct, answer
             assert answer.total < 5.0, answer
 
     run_with_timeout(work)
@@ -183,11 +183,11 @@
             (engine,) = list_engines(cluster)
             await cluster.set_faults(engine, stall=3.0)
             pending_answers = [
-                caller.ask_chat(make_chat(f"slow-{stream}"), 10, stream=stream)
+                caller.send_chat(make_chat(f"slow-{stream}"), 10, stream=stream)
                 for stream in (True, False)
             ]
             for answer in await asyncio.gather(*pending_answers):
-                assert answer.good, answer
+                assert answer.is_correct, answer
             assert await sum_engine_stat(cluster, "requests") == 2
             assert await sum_engine_stat(cluster, "cancelled") == 0
 
@@ -220,9 +220,9 @@
                 outcomes: list[bool] = []
                 while not faults_finished.is_set():
                     chat = make_chat(f"load-{index}-{len(outcomes)}")
-                    answer = await callers[index].ask_chat(chat, 10, stream=index % 2 == 0)
-                    assert not answer.wrong, answer
-                    outcomes.append(answer.good)
+                    answer = await callers[index].send_chat(chat, 10, stream=index % 2 == 0)
+                    assert not answer.is_incorrect, answer
+                    outcomes.append(answer.is_correct)
                 return outcomes
 
             fault_task = asyncio.create_task(inject_faults())
@@ -230,8 +230,8 @@
                 *(send_chats(index) for index in range(len(callers)))
             )
             await fault_task
-            good = [is_good for outcomes in outcomes_by_caller for is_good in outcomes]
-            assert sum(good) >= 0.9 * len(good), f"{sum(good)} of {len(good)}"
+            correct = [is_correct for outcomes in outcomes_by_caller for is_correct in outcomes]
+            assert sum(correct) >= 0.9 * len(correct), f"{sum(correct)} of {len(correct)}"
 
     run_with_timeout(work)
 
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -23,10 +23,10 @@
         count = runs.get(key, 0)
         assert count <= 1, f"{key} ran {count} times: {answers}"
         for answer in answers:
-            assert not answer.wrong, answer
+            assert not answer.is_incorrect, answer
             if answer.verdict == "not_run" and answer is answers[-1]:
                 assert count == 0, f"{key} ran but the caller was told that it did not: {answers}"
-            if answer.good:
+            if answer.is_correct:
                 assert count == 1, f"{key} was answered but did not run"
 
 
@@ -40,7 +40,7 @@
     for _ in range(max_tries):
         answer = await caller.send_command(PATH, key, BODY, deadline=deadline)
         answers.append(answer)
-        if answer.good:
+        if answer.is_correct:
             return answer
         await asyncio.sleep(min(answer.retry_after, 2.0) or 0.1)
     raise AssertionError(f"outcome not known after {max_tries} tries: {answers}")
@@ -160,7 +160,7 @@
             first.process.thaw()
             answers_by_key["k"].append(await pending_answer)
             final_answer = await retry_until_outcome_known(caller, "k", answers_by_key["k"])
-            assert final_answer.good
+            assert final_answer.is_correct
             await send_to_all_running_instances(cluster, caller, "k", answers_by_key["k"])
             check_run_counts(cluster, answers_by_key)
 
@@ -212,7 +212,7 @@
                 await cluster.set_route_faults(zone, list_plain_services(cluster), freeze=True)
             await set_plain_service_faults(cluster, hold=0.0)
             other_answer = await caller.send_command(PATH, "other", BODY)
-            assert other_answer.good, other_answer
+            assert other_answer.is_correct, other_answer
             answers = [await pending_answer]
             assert answers[0].verdict == "may_have_run", answers
             for node in cluster.instances.values():
@@ -242,7 +242,7 @@
                 key = f"twin-{number}"
                 sends = [caller.send_command(PATH, key, BODY, node.address) for node in nodes]
                 answers_by_key[key] = await asyncio.gather(*sends)
-                assert all(answer.good for answer in answers_by_key[key]), answers_by_key[key]
+                assert all(answer.is_correct for answer in answers_by_key[key]), answers_by_key[key]
                 assert len({answer.body for answer in answers_by_key[key]}) == 1
             for node in nodes:
                 conflict = await caller.send_command(PATH, "twin-0", b'{"plot": 8}', node.address)
@@ -276,7 +276,7 @@
             for key in keys[:4]:
                 for node in (other, issuer, other):
                     answer = await caller.send_command(PATH, key, BODY, node.address)
-                    assert answer.good, answer
+                    assert answer.is_correct, answer
                     answers_by_key[key].append(answer)
                 conflict = await caller.send_command(PATH, key, b"{}", other.address)
                 assert conflict.code == "idempotency_key_reused", conflict
@@ -284,7 +284,9 @@
                 caller.send_command(PATH, keys[4], BODY, node.address) for node in (issuer, other)
             ]
             answers_by_key[keys[4]] = await asyncio.gather(*twin_sends)
-            assert all(answer.good for answer in answers_by_key[keys[4]]), answers_by_key[keys[4]]
+            assert all(answer.is_correct for answer in answers_by_key[keys[4]]), answers_by_key[
+                keys[4]
+            ]
             unreserved = await caller.send_command(PATH, "plain", BODY, issuer.address)
             assert (unreserved.code, unreserved.verdict) == (
                 "platform_down",
@@ -345,14 +347,14 @@
                 for node in (cut_off, connected)
             ]
             answers = await asyncio.gather(*sends)
-            assert (answers[0].verdict, answers[1].good) == ("may_have_run", True), answers
+            assert (answers[0].verdict, answers[1].is_correct) == ("may_have_run", True), answers
             await cluster.set_route_faults("almaty-a", [cluster.platform], blackhole=False)
             for _ in range(5):
                 answers.append(await caller.send_command(PATH, "k", BODY, cut_off.address, 5.0))
-                if answers[-1].good:
+                if answers[-1].is_correct:
                     break
                 await asyncio.sleep(1.0)
-            assert answers[-1].good and answers[-1].replayed, answers
+            assert answers[-1].is_correct and answers[-1].replayed, answers
             check_run_counts(cluster, {"k": answers})
 
     run_with_timeout(work)
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -19,7 +19,7 @@
 def make_crashing_chat() -> Chat:
     """Return the chat that crashes engines; its body is the same each time."""
     chat = Chat("bad", "camp-large")
-    chat.ask(CRASH_TRIGGER)
+    chat.add_user_message(CRASH_TRIGGER)
     return chat
 
 
@@ -49,22 +49,22 @@
                 chat_answers: list[Answer] = []
                 while not crashes_checked.is_set():
                     chat = Chat(f"good-{index}", "camp-large")
-                    chat.ask(f"{index} {len(chat_answers)}: which plots are free?")
-                    chat_answers.append(await caller.ask_chat(chat, 10))
+                    chat.add_user_message(f"{index} {len(chat_answers)}: which plots are free?")
+                    chat_answers.append(await caller.send_chat(chat, 10))
                 return chat_answers
 
             chat_tasks = [asyncio.create_task(send_chats(index)) for index in range(6)]
             await asyncio.sleep(0.5)
             for _ in range(3):
-                refusal = await caller.ask_chat(make_crashing_chat(), 40, stream=stream)
-                assert not refusal.good
+                refusal = await caller.send_chat(make_crashing_chat(), 40, stream=stream)
+                assert not refusal.is_correct
                 if refusal.code:
                     break
             assert (refusal.status, refusal.code) == (422, REFUSAL_CODE), refusal
             crashed = list_crashed_targets(cluster)
             assert len(crashed) == 2, crashed
             for node in cluster.instances.values():
-                repeat = await caller.ask_chat(
+                repeat = await caller.send_chat(
                     make_crashing_chat(), 40, stream=stream, address=node.address
                 )
                 assert (repeat.status, repeat.code) == (422, REFUSAL_CODE), repeat
@@ -74,7 +74,7 @@
                 await cluster.set_faults(node, crash_on=CRASH_TRIGGER)
             await cluster.wait_targets()
             for node in cluster.instances.values():
-                repeat = await caller.ask_chat(
+                repeat = await caller.send_chat(
                     make_crashing_chat(), 40, stream=stream, address=node.address
                 )
                 assert repeat.code == REFUSAL_CODE, repeat
@@ -84,9 +84,11 @@
             ]
             assert not list_crashed_targets(cluster)
             assert not [answer for answer in chat_answers if answer.code == REFUSAL_CODE]
-            assert not [answer for answer in chat_answers if answer.wrong]
-            good_count = sum(answer.good for answer in chat_answers)
-            assert good_count >= 0.9 * len(chat_answers), f"{good_count} of {len(chat_answers)}"
+            assert not [answer for answer in chat_answers if answer.is_incorrect]
+            correct_count = sum(answer.is_correct for answer in chat_answers)
+            assert correct_count >= 0.9 * len(
+                chat_answers
+            ), f"{correct_count} of {len(chat_answers)}"
 
     run_with_timeout(work)
 
@@ -107,8 +109,8 @@
                 await cluster.set_faults(engine, stall=1.0)
             for _ in range(2):
                 chat = Chat("one", "camp-large")
-                chat.ask("which plots are free?")
-                pending_answer = asyncio.create_task(caller.ask_chat(chat, 10, deadline=3.0))
+                chat.add_user_message("which plots are free?")
+                pending_answer = asyncio.create_task(caller.send_chat(chat, 10, deadline=3.0))
                 await asyncio.sleep(0.3)
                 await cluster.set_route_faults(zone, engines, blackhole=True, cut=True)
                 answer = await pending_answer
@@ -118,8 +120,8 @@
             for engine in engines:
                 await cluster.set_faults(engine, stall=0.0)
             chat = Chat("one", "camp-large")
-            chat.ask("which plots are free?")
-            answer = await caller.ask_chat(chat, 10)
-            assert answer.good, answer
+            chat.add_user_message("which plots are free?")
+            answer = await caller.send_chat(chat, 10)
+            assert answer.is_correct, answer
 
     run_with_timeout(work)
--- a/tests/fleet/test_fairness.py
+++ b/tests/fleet/test_fairness.py
@@ -42,9 +42,9 @@
                         lambda: _has_good_answers(desk, 15),
                         30.0,
                     )
-            durations = sorted(answer.total for answer in desk.answers if answer.good)
+            durations = sorted(answer.total for answer in desk.answers if answer.is_correct)
             median_s = statistics.median(durations)
-            surge_median_s = statistics.median(a.total for a in surge.answers[-60:] if a.good)
+            surge_median_s = statistics.median(a.total for a in surge.answers[-60:] if a.is_correct)
             print(f"MEASURED desk median {median_s:.2f} s, surge {surge_median_s:.2f} s")
             print(
                 f"MEASURED desk {desk.good_count} of {len(desk.answers)}, {desk.count_failures()}"
--- a/tests/fleet/test_stop.py
+++ b/tests/fleet/test_stop.py
@@ -88,9 +88,9 @@
             reused = await Connection.open(node.address, 2.0)
             assert (await _look_up(reused, headers))[1] != "close"
             chat = Chat("long", "camp-large")
-            chat.ask("everything about every plot")
+            chat.add_user_message("everything about every plot")
             caller = make_caller(cluster)
-            long_answer = asyncio.create_task(caller.ask_chat(chat, 500, address=node.address))
+            long_answer = asyncio.create_task(caller.send_chat(chat, 500, address=node.address))
             await asyncio.sleep(0.3)
             node.process.send(signal.SIGTERM)
             node.process.send(signal.SIGTERM)
@@ -100,9 +100,11 @@
             await asyncio.sleep(BALANCER_LAG_S)
             # The listening socket is closed by now; this idle connection is still read.
             assert await _look_up(idle, headers) == (200, "close")
-            assert (await long_answer).good
+            assert (await long_answer).is_correct
             assert await wait_for_exit(node, 15.0) == 0
-            assert (await make_caller(cluster).look_up("/booking/plots/1", other.address)).good
+            assert (
+                await make_caller(cluster).look_up("/booking/plots/1", other.address)
+            ).is_correct
 
     run_with_timeout(work)
 
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -123,13 +123,13 @@
 
 
 async def _send_long_chats(cluster: Cluster) -> list[Answer]:
-    """Send chats whose answers take some seconds; return the answers that are not good."""
+    """Send chats whose answers take some seconds; return the answers that are not correct."""
     caller = make_caller(cluster)
     chats = [Chat(f"long-{n}", "camp-large") for n in range(4)]
     for chat in chats:
-        chat.ask("plan the whole mela")
-    answers = await asyncio.gather(*(caller.ask_chat(chat, 600) for chat in chats))
-    return [answer for answer in answers if not answer.good]
+        chat.add_user_message("plan the whole mela")
+    answers = await asyncio.gather(*(caller.send_chat(chat, 600) for chat in chats))
+    return [answer for answer in answers if not answer.is_correct]
 
 
 @pytest.mark.parametrize("cut_before", [0.0, 7.0])
@@ -158,7 +158,7 @@
             accepted_at = time.time()
             assert status == 0 and "in force at 1 of 2 instances; NOT at:" in output, output
             caller = make_caller(cluster)
-            caller.pick = lambda: nodes["almaty-b"].address  # type: ignore[method-assign]
+            caller.select_instance = lambda: nodes["almaty-b"].address  # type: ignore[method-assign]
             async with run_mixed_load([caller], chats=3, commands=0) as load:
                 last_delay_s = await wait_for_last_request(cluster, targets, accepted_at)
             assert last_delay_s <= LAST_REQUEST_LIMIT_S
--- a/tests/loadtool/test_analysis.py
+++ b/tests/loadtool/test_analysis.py
@@ -17,9 +17,9 @@
     return EngineSample(at, stats)
 
 
-def make_sent_request(at: float, good: bool, first_byte: float = 0.1) -> SentRequest:
-    """Return a sent request with a right or an incomplete answer."""
-    answer = Answer(status=200, whole=good, right=good, first_byte=first_byte)
+def make_sent_request(at: float, is_correct: bool, first_byte: float = 0.1) -> SentRequest:
+    """Return a sent request with a correct or an incomplete answer."""
+    answer = Answer(status=200, complete=is_correct, body_matches=is_correct, first_byte=first_byte)
     return SentRequest(at, "planning", answer)
 
 
--- a/tests/trace/test_fleet.py
+++ b/tests/trace/test_fleet.py
@@ -24,9 +24,9 @@
     rng = random.Random(number)
     chat = Chat(f"chat-{number}", "camp-large")
     while asyncio.get_running_loop().time() < until:
-        chat.ask(PROMPT * rng.randrange(1, 60))
-        answer = await caller.ask_chat(chat, rng.randrange(2, 12), stream=True)
-        if not answer.good:
+        chat.add_user_message(PROMPT * rng.randrange(1, 60))
+        answer = await caller.send_chat(chat, rng.randrange(2, 12), stream=True)
+        if not answer.is_correct:
             chat.messages.pop()
 
 
