--- a/loadtool/_chaos.py
+++ b/loadtool/_chaos.py
@@ -72,12 +72,12 @@
             cluster.start_engine(name, zone_by_letter[name[-2]], "planner", *ENGINE_OPTIONS)
         )
     for name in layout.plain_services:
-        start_calls.append(cluster.start_plain(name, zone_by_letter[name[-2]], "booking"))
+        start_calls.append(cluster.start_plain_service(name, zone_by_letter[name[-2]], "booking"))
     await asyncio.gather(*start_calls)
     await cluster.register()
-    await cluster.wait_ready()
-    await cluster.apply(ROOT / "examples" / "tengri")
-    await cluster.wait_targets()
+    await cluster.wait_until_instances_ready()
+    await cluster.apply_declarations(ROOT / "examples" / "tengri")
+    await cluster.wait_until_targets_ready()
 
 
 class ChaosLoad:
@@ -173,7 +173,7 @@
     async def _check_target(self, name: str) -> None:
         node = self._cluster.targets[name]
         try:
-            stats = await self._cluster.ask_admin(node, "stats")
+            stats = await self._cluster.call_admin(node, "stats")
         except HttpFailure:
             return
         self.max_running = max(self.max_running, stats["running"])
@@ -216,8 +216,8 @@
 
 async def _check_recovery(cluster: Cluster, load: ChaosLoad) -> list[str]:
     """Check that all requests are answered some seconds after the last fault has ended."""
-    await cluster.wait_ready()
-    await cluster.wait_targets()
+    await cluster.wait_until_instances_ready()
+    await cluster.wait_until_targets_ready()
     deadline = time.monotonic() + RECOVERY_TIMEOUT_S
     failed: list[Answer] = []
     while time.monotonic() < deadline:
@@ -251,7 +251,7 @@
     layout = make_layout()
     schedule = make_fault_schedule(seed, duration, layout)
     answer_log = AnswerLog()
-    async with Cluster(folder, ZONES, proxied=True) as cluster:
+    async with Cluster(folder, ZONES, use_proxies=True) as cluster:
         await _start_cluster(cluster, layout)
         return await _run_schedule(cluster, seed, duration, schedule, answer_log)
 
@@ -283,7 +283,7 @@
             for status in faults.stop_statuses
             if status != 0
         ]
-    violations += answer_log.find_violations(cluster.read_runs())
+    violations += answer_log.find_violations(cluster.count_runs_by_key())
     return ChaosResult(seed, answer_log, violations, faults.stop_seconds, monitor.max_running)
 
 
--- a/loadtool/_cluster.py
+++ b/loadtool/_cluster.py
@@ -58,18 +58,18 @@
     """A deployment.
 
     Nodes are started one by one; `register` then adds them to the instance list of the platform.
-    `list_lag` is the number of seconds by which that list lags behind. If `proxied`, each zone
-    reaches the other nodes through a proxy. If `record`, each instance writes a trace file.
+    `list_lag` is the number of seconds by which that list lags behind. If `use_proxies`, each zone
+    reaches the other nodes through a proxy. If `record_traces`, each instance writes a trace file.
     """
 
     def __init__(
         self,
         folder: Path,
         zones: list[str],
-        proxied: bool = False,
+        use_proxies: bool = False,
         core_settings: str = "",
         list_lag: float = 0.3,
-        record: bool = False,
+        record_traces: bool = False,
     ) -> None:
         self.group = ProcessGroup(folder)
         self.folder = folder
@@ -77,10 +77,10 @@
         self.instances: dict[str, Node] = {}
         self.targets: dict[str, Node] = {}
         self.platform: Node | None = None
-        self._proxied = proxied
+        self._use_proxies = use_proxies
         self._core_settings = core_settings
         self._list_lag = list_lag
-        self._record = record
+        self._record_traces = record_traces
         self._pool = ConnectionPool(2.0)
 
     async def __aenter__(self) -> Cluster:
@@ -90,14 +90,14 @@
         await self.close()
 
     async def start_platform(self) -> None:
-        """Start the platform and, if the cluster is proxied, a proxy for each zone."""
+        """Start the platform and, if the cluster uses proxies, a proxy for each zone."""
         process, port = await self.group.start_stand_in(
             "platform", ["platform", "--lag", str(self._list_lag)]
         )
         self.platform = Node("platform", "platform", "", process, port)
         for zone in self.zones.values():
             zone.platform_port = port
-            if self._proxied:
+            if self._use_proxies:
                 name = f"proxy-{zone.name}"
                 process, proxy_port = await self.group.start_stand_in(name, ["proxy"])
                 zone.proxy = Node(name, "proxy", zone.name, process, proxy_port)
@@ -107,7 +107,7 @@
         """Start a model engine and return its node."""
         return await self._start_target(name, "engine", zone, service, list(options))
 
-    async def start_plain(self, name: str, zone: str, service: str, *options: str) -> Node:
+    async def start_plain_service(self, name: str, zone: str, service: str, *options: str) -> Node:
         """Start a plain service and return its node.
 
         Its journal of executed commands remains after the process has ended.
@@ -138,13 +138,15 @@
         """Add nodes to the instance list of the platform, all nodes if none is given."""
         chosen_nodes = nodes or (*self.instances.values(), *self.targets.values())
         entries = [self._make_entry(node, state) for node in chosen_nodes]
-        await self.ask_admin(self._get_platform(), "entries", entries)
+        await self.call_admin(self._get_platform(), "entries", entries)
 
     async def unregister(self, *nodes: Node) -> None:
         """Remove nodes from the instance list of the platform."""
-        await self.ask_admin(self._get_platform(), "remove", [node.id for node in nodes])
+        await self.call_admin(self._get_platform(), "remove", [node.id for node in nodes])
 
-    async def wait_ready(self, *nodes: Node, timeout: float = READY_TIMEOUT_S) -> None:
+    async def wait_until_instances_ready(
+        self, *nodes: Node, timeout: float = READY_TIMEOUT_S
+    ) -> None:
         """Wait until instances are ready, all instances if none is given.
 
         Raises:
@@ -154,7 +156,7 @@
         for node in nodes or tuple(self.instances.values()):
             await self._wait_until_instance_ready(node, time.monotonic() + timeout)
 
-    async def wait_targets(self, timeout: float = READY_TIMEOUT_S) -> None:
+    async def wait_until_targets_ready(self, timeout: float = READY_TIMEOUT_S) -> None:
         """Wait until each instance considers each running target of its zone ready.
 
         Raises:
@@ -169,7 +171,7 @@
                 raise TimeoutError(f"targets still not ready, by instance: {unready}")
             await asyncio.sleep(0.1)
 
-    async def apply(self, path: Path) -> None:
+    async def apply_declarations(self, path: Path) -> None:
         """Apply declarations through the first instance.
 
         Raises:
@@ -193,7 +195,7 @@
 
     async def set_faults(self, node: Node, **faults: Any) -> None:
         """Set the faults that a stand-in injects."""
-        await self.ask_admin(node, "faults", faults)
+        await self.call_admin(node, "faults", faults)
 
     async def set_route_faults(self, viewer: str, nodes: list[Node], **faults: Any) -> None:
         """Set faults on the proxy routes from the zone `viewer` to nodes, the platform included."""
@@ -205,9 +207,9 @@
                 ports.append(zone.platform_port)
             else:
                 ports.extend(port for port in node.ports_by_zone[viewer] if port)
-        await self.ask_admin(zone.proxy, "faults", {"ports": ports, **faults})
+        await self.call_admin(zone.proxy, "faults", {"ports": ports, **faults})
 
-    async def ask_admin(self, node: Node, name: str, body: Any = None) -> Any:
+    async def call_admin(self, node: Node, name: str, body: Any = None) -> Any:
         """Call the admin interface of a stand-in and return the decoded response."""
         now = asyncio.get_running_loop().time()
         data = b"" if body is None else msgspec.json.encode(body)
@@ -216,7 +218,7 @@
         )
         return msgspec.json.decode(answer)
 
-    def read_runs(self) -> dict[str, int]:
+    def count_runs_by_key(self) -> dict[str, int]:
         """Return how often each idempotency key was executed.
 
         It counts over all plain services, including those that have crashed.
@@ -254,7 +256,9 @@
     def _write_settings(self, node: Node, extra: str) -> Path:
         zone = self.zones[node.zone]
         path = self.folder / f"{node.id}.toml"
-        record = f'[record]\nfile = "{self.folder / node.id}.trace"\n' if self._record else ""
+        record = (
+            f'[record]\nfile = "{self.folder / node.id}.trace"\n' if self._record_traces else ""
+        )
         path.write_text(
             f'[instance]\nid = "{node.id}"\nzone = "{node.zone}"\nhost = "{HOST}"\n'
             f"http_port = {node.port}\npeer_port = {node.peer_port}\n"
@@ -269,7 +273,7 @@
 
     async def _open_route(self, zone: Zone, port: int) -> int:
         assert zone.proxy is not None
-        answer = await self.ask_admin(zone.proxy, "routes", {"to": [HOST, port]})
+        answer = await self.call_admin(zone.proxy, "routes", {"to": [HOST, port]})
         return int(answer["port"])
 
     async def _add_routes(self, node: Node) -> None:
--- a/loadtool/_demo.py
+++ b/loadtool/_demo.py
@@ -60,12 +60,12 @@
     for number, zone in enumerate(ZONES * 2):
         starts.append(cluster.start_instance(f"entry-{number + 1}", zone))
         starts.append(cluster.start_engine(f"engine-{number + 1}", zone, "planner"))
-    starts.extend(cluster.start_plain(f"booking-{z}", z, "booking") for z in ZONES)
+    starts.extend(cluster.start_plain_service(f"booking-{z}", z, "booking") for z in ZONES)
     await asyncio.gather(*starts)
     await cluster.register()
-    await cluster.wait_ready()
-    await cluster.apply(ROOT / "examples" / "tengri")
-    await cluster.wait_targets()
+    await cluster.wait_until_instances_ready()
+    await cluster.apply_declarations(ROOT / "examples" / "tengri")
+    await cluster.wait_until_targets_ready()
 
 
 async def _run_chats(stats: AnswerStats, caller: Caller, seed: int, until: float) -> None:
@@ -153,7 +153,7 @@
     until = time.monotonic() + DURATION_S
     work = [_run_chats(stats, chats, SEED + i, until) for i in range(CHAT_WORKERS)]
     await asyncio.gather(*work, _run_bookings(stats, bookings, until), _show_progress(stats, until))
-    runs = cluster.read_runs()
+    runs = cluster.count_runs_by_key()
     run_twice = sum(count > 1 for count in runs.values())
     _print_table(stats, runs)
     print(
--- a/loadtool/_fleet.py
+++ b/loadtool/_fleet.py
@@ -24,7 +24,7 @@
         self.cluster = Cluster(
             folder,
             list(deployment.zones),
-            proxied=True,
+            use_proxies=True,
             core_settings=f'[statsd]\nhost = "{HOST}"\nport = {statsd_port}\n',
         )
         self._policy = policy
@@ -48,15 +48,15 @@
         for number in range(deployment.plains):
             zone = self._select_zone(number)
             name = f"{deployment.plain_service}-{number + 1}"
-            starts.append(cluster.start_plain(name, zone, deployment.plain_service))
+            starts.append(cluster.start_plain_service(name, zone, deployment.plain_service))
         await asyncio.gather(*starts)
         for node in (*cluster.instances.values(), *cluster.targets.values()):
             await self._set_delays(node)
         await self._set_platform_delay()
         await cluster.register()
-        await cluster.wait_ready()
-        await cluster.apply(self._write_declarations())
-        await cluster.wait_targets()
+        await cluster.wait_until_instances_ready()
+        await cluster.apply_declarations(self._write_declarations())
+        await cluster.wait_until_targets_ready()
 
     def list_caller_addresses(self) -> list[tuple[str, int]]:
         """Return the addresses at which callers reach the instances."""
@@ -106,10 +106,10 @@
                 await self.cluster.set_route_faults(zone, [node], delay=delay)
         proxy = self._caller_proxy
         assert proxy is not None
-        route = await self.cluster.ask_admin(proxy, "routes", {"to": [HOST, node.port]})
+        route = await self.cluster.call_admin(proxy, "routes", {"to": [HOST, node.port]})
         port = int(route["port"])
         faults = {"ports": [port], "delay": self.deployment.caller_delay}
-        await self.cluster.ask_admin(proxy, "faults", faults)
+        await self.cluster.call_admin(proxy, "faults", faults)
         self.caller_addresses[node.id] = (HOST, port)
 
     async def _set_platform_delay(self) -> None:
--- a/loadtool/_measure.py
+++ b/loadtool/_measure.py
@@ -75,7 +75,7 @@
                 probes.run(steady.begin, steady.end),
                 self._print_progress(load),
             )
-            runs = fleet.cluster.read_runs()
+            runs = fleet.cluster.count_runs_by_key()
             result = self._compute_result(load, sampler, scenario, self._find_service())
             result.idle = idle
             result.busy = await busy_task
--- a/loadtool/_relay_cost.py
+++ b/loadtool/_relay_cost.py
@@ -49,9 +49,9 @@
             options = ("--slots", str(MAX_CONCURRENT_STREAMS), "--token-time", TOKEN_TIME_S)
             await cluster.start_engine("engine-1", zone, TENGRI.engine_service, *options)
             await cluster.register()
-            await cluster.wait_ready()
-            await cluster.apply(TENGRI.declarations)
-            await cluster.wait_targets()
+            await cluster.wait_until_instances_ready()
+            await cluster.apply_declarations(TENGRI.declarations)
+            await cluster.wait_until_targets_ready()
             # The first requests are not measured: they warm up the code of the instance and let the
             # limit of the engine rise.
             await _run_streams(instance, "warm", SHORT_ANSWER_WORDS)
--- a/loadtool/_samples.py
+++ b/loadtool/_samples.py
@@ -82,7 +82,7 @@
 
     async def _read_stats(self, node: Node) -> EngineStats | None:
         try:
-            answer = await self._cluster.ask_admin(node, "stats")
+            answer = await self._cluster.call_admin(node, "stats")
         except HttpFailure:
             # The run itself has just stopped this engine.
             return None
--- a/loadtool/_slopes_wire.py
+++ b/loadtool/_slopes_wire.py
@@ -106,9 +106,9 @@
         await cluster.start_engine("engine-1", ZONE, "planner", *options)
         node = await cluster.start_instance("entry-1", ZONE, "slot_timeout = 5.0")
         await cluster.register()
-        await cluster.wait_ready()
-        await cluster.apply(ROOT / "examples" / "tengri")
-        await cluster.wait_targets()
+        await cluster.wait_until_instances_ready()
+        await cluster.apply_declarations(ROOT / "examples" / "tengri")
+        await cluster.wait_until_targets_ready()
         relay = await _measure_relay(cluster, node)
         return [relay, await _measure_streams(cluster, node)]
 
@@ -149,7 +149,7 @@
             new_names = [f"entry-{n}" for n in range(len(cluster.instances), count)]
             await asyncio.gather(*(cluster.start_instance(n, ZONE, statsd) for n in new_names))
             await cluster.register()
-            await cluster.wait_ready()
+            await cluster.wait_until_instances_ready()
             # Ownership has to settle after instances were added, and counters are sent once a
             # second.
             await asyncio.sleep(2.5)
--- a/tests/fleet/harness.py
+++ b/tests/fleet/harness.py
@@ -44,7 +44,7 @@
     passed to `Cluster`.
     """
     zone_names = ZONES[:zones]
-    async with Cluster(folder, zone_names, proxied=True, **options) as cluster:
+    async with Cluster(folder, zone_names, use_proxies=True, **options) as cluster:
         await cluster.start_platform()
         startups: list[Awaitable[Any]] = []
         for zone in zone_names:
@@ -56,12 +56,12 @@
                 startups.append(cluster.start_engine(name, zone, "planner", *engine_options))
             for n in range(1, plain_services + 1):
                 name = f"booking-{zone_letter}{n}"
-                startups.append(cluster.start_plain(name, zone, "booking", *plain_options))
+                startups.append(cluster.start_plain_service(name, zone, "booking", *plain_options))
         await asyncio.gather(*startups)
         await cluster.register()
-        await cluster.wait_ready()
-        await cluster.apply(declarations)
-        await cluster.wait_targets()
+        await cluster.wait_until_instances_ready()
+        await cluster.apply_declarations(declarations)
+        await cluster.wait_until_targets_ready()
         yield cluster
 
 
--- a/tests/fleet/instance_helpers.py
+++ b/tests/fleet/instance_helpers.py
@@ -54,7 +54,7 @@
 
 async def read_last_request_time(cluster: Cluster, target: Node) -> float:
     """Return when a target last received a request, in Unix seconds by the target's clock."""
-    return float((await cluster.ask_admin(target, "stats"))["last_request"])
+    return float((await cluster.call_admin(target, "stats"))["last_request"])
 
 
 class LoadGenerator:
--- a/tests/fleet/load_helpers.py
+++ b/tests/fleet/load_helpers.py
@@ -99,12 +99,12 @@
 async def reset_max_running(cluster: Cluster) -> None:
     """Reset the maximum of concurrent requests that each engine has recorded."""
     for node in list_engines(cluster):
-        await cluster.ask_admin(node, "reset_max")
+        await cluster.call_admin(node, "reset_max")
 
 
 async def read_engine_stats(cluster: Cluster, node: Node) -> dict[str, int]:
     """Return the statistics that an engine reports."""
-    stats: dict[str, int] = await cluster.ask_admin(node, "stats")
+    stats: dict[str, int] = await cluster.call_admin(node, "stats")
     return stats
 
 
--- a/tests/fleet/test_answers.py
+++ b/tests/fleet/test_answers.py
@@ -20,7 +20,7 @@
 
 async def sum_engine_stat(cluster: Cluster, name: str) -> int:
     """Return the sum of one statistic over the engines."""
-    all_stats = [await cluster.ask_admin(node, "stats") for node in list_engines(cluster)]
+    all_stats = [await cluster.call_admin(node, "stats") for node in list_engines(cluster)]
     return sum(int(stats[name]) for stats in all_stats)
 
 
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -18,7 +18,7 @@
 
 def check_run_counts(cluster: Cluster, answers_by_key: dict[str, list[Answer]]) -> None:
     """Check the runs in the services' journals against the callers' answers for each key."""
-    runs = cluster.read_runs()
+    runs = cluster.count_runs_by_key()
     for key, answers in answers_by_key.items():
         count = runs.get(key, 0)
         assert count <= 1, f"{key} ran {count} times: {answers}"
@@ -59,7 +59,7 @@
     """Wait until a service has run the key."""
 
     async def has_run() -> bool:
-        return key in cluster.read_runs()
+        return key in cluster.count_runs_by_key()
 
     await wait_until(f"{key} has been run by a service", has_run)
 
@@ -70,7 +70,7 @@
     platform = cluster.platform
 
     async def is_claimed() -> bool:
-        rows = await cluster.ask_admin(platform, "rows?table=claims")
+        rows = await cluster.call_admin(platform, "rows?table=claims")
         return any(row["key"].endswith("/" + key) for row in rows)
 
     await wait_until(f"{key} has a claim in the table", is_claimed)
@@ -108,7 +108,7 @@
                 await cluster.set_faults(cluster.platform, lose_answers=0)
                 await send_to_all_running_instances(cluster, caller, key, answers_by_key[key])
             check_run_counts(cluster, answers_by_key)
-            assert len(cluster.read_runs()) == 3
+            assert len(cluster.count_runs_by_key()) == 3
 
     run_with_timeout(work)
 
@@ -303,7 +303,7 @@
                 assert answer_after_kill.verdict == "may_have_run", answer_after_kill
                 answers_by_key[key].append(answer_after_kill)
             check_run_counts(cluster, answers_by_key)
-            assert cluster.read_runs() == dict.fromkeys(keys[:5], 1)
+            assert cluster.count_runs_by_key() == dict.fromkeys(keys[:5], 1)
 
     run_with_timeout(work)
 
--- a/tests/fleet/test_config.py
+++ b/tests/fleet/test_config.py
@@ -119,7 +119,7 @@
             await cluster.set_faults(cluster.platform, **{fault: fault_value})
             await restarted.process.kill()
             await cluster.restart_instance(restarted)
-            await cluster.wait_ready(restarted, timeout=8.0)
+            await cluster.wait_until_instances_ready(restarted, timeout=8.0)
             assert await read_config_version(restarted) == 2
             assert not await is_zone_in_service(restarted, "almaty-b")
 
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -72,7 +72,7 @@
             for node in crashed:
                 await cluster.restart_target(node)
                 await cluster.set_faults(node, crash_on=CRASH_TRIGGER)
-            await cluster.wait_targets()
+            await cluster.wait_until_targets_ready()
             for node in cluster.instances.values():
                 repeat = await caller.send_chat(
                     make_crashing_chat(), 40, stream=stream, address=node.address
@@ -116,7 +116,7 @@
                 answer = await pending_answer
                 assert answer.code != REFUSAL_CODE, answer
                 await cluster.set_route_faults(zone, engines, blackhole=False)
-                await cluster.wait_targets()
+                await cluster.wait_until_targets_ready()
             for engine in engines:
                 await cluster.set_faults(engine, stall=0.0)
             chat = Chat("one", "camp-large")
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -27,6 +27,6 @@
             assert first_answer.is_correct and first_answer.verdict == "ran", first_answer
             replayed_answer = await caller.send_command("/booking/bookings", "k1", b'{"plot": 1}')
             assert replayed_answer.is_correct and replayed_answer.replayed, replayed_answer
-            assert cluster.read_runs() == {"k1": 1}
+            assert cluster.count_runs_by_key() == {"k1": 1}
 
     run_with_timeout(work)
--- a/tests/fleet/test_stop.py
+++ b/tests/fleet/test_stop.py
@@ -30,7 +30,7 @@
     """Start a replacement of an instance, stop the old one and return the stop's seconds."""
     replacement = await cluster.start_instance(f"{node.id}-new", node.zone)
     await cluster.register(replacement)
-    await cluster.wait_ready(replacement)
+    await cluster.wait_until_instances_ready(replacement)
     stop_started_at = time.monotonic()
     node.process.send(signal.SIGTERM)
     assert await wait_for_exit(node, 20.0) == 0
@@ -61,7 +61,7 @@
                         stop_durations.append(await replace_instance(cluster, node))
                 await long_chats
             assert not load.failed_answers, load.failed_answers[:3]
-            runs = cluster.read_runs()
+            runs = cluster.count_runs_by_key()
             assert set(runs.values()) == {1}
             longest_s = max(stop_durations)
             assert longest_s < BALANCER_LAG_S + 6.0
@@ -139,7 +139,7 @@
                 await asyncio.sleep(0.5)
             assert not load.failed_answers, load.failed_answers[:3]
             engine = next(t for t in cluster.targets.values() if t.id == "engine-b1")
-            last_request_at = (await cluster.ask_admin(engine, "stats"))["last_request"]
+            last_request_at = (await cluster.call_admin(engine, "stats"))["last_request"]
             assert (
                 last_request_at > stopped_at + BALANCER_LAG_S
             ), "the engine got no request after the handover"
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -71,18 +71,18 @@
                 assert last_delay_s <= LAST_REQUEST_LIMIT_S
                 await cluster.set_faults(cluster.platform, outage=False)
                 await cluster.set_faults(engine, turn_cold=True)
-                finished_before = (await cluster.ask_admin(engine, "stats"))["finished"]
+                finished_before = (await cluster.call_admin(engine, "stats"))["finished"]
                 status, output = await cluster.run_command("zone", "in", "almaty-b", node=first)
                 assert status == 0 and "in force at all 4 instances" in output, output
 
                 async def finishes_requests() -> bool:
-                    stats = await cluster.ask_admin(engine, "stats")
+                    stats = await cluster.call_admin(engine, "stats")
                     return bool(stats["finished"] >= finished_before + 10)
 
                 await wait_until(
                     "the engine of zone b finishes requests again", finishes_requests, 10.0
                 )
-            assert (await cluster.ask_admin(engine, "stats"))["fell_over"] == 0
+            assert (await cluster.call_admin(engine, "stats"))["fell_over"] == 0
             assert not load.failed_answers, load.failed_answers[:3]
             print(
                 f"last request {last_delay_s:+.2f} s after acceptance, {len(load.answers)} answers"
@@ -92,7 +92,7 @@
 
 
 async def _has_finished_requests(cluster: Cluster, node: Node) -> bool:
-    return bool((await cluster.ask_admin(node, "stats"))["finished"] >= 4)
+    return bool((await cluster.call_admin(node, "stats"))["finished"] >= 4)
 
 
 def test_leaving_target_gets_no_new_requests(tmp_path: Path) -> None:
--- a/tests/trace/test_fleet.py
+++ b/tests/trace/test_fleet.py
@@ -73,7 +73,7 @@
     names = ["entry-a1", "entry-a2", "entry-b1", "entry-b2"]
 
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=2, engines=2, record=True) as cluster:
+        async with start_fleet(tmp_path, instances=2, engines=2, record_traces=True) as cluster:
             caller = make_caller(cluster)
             until = asyncio.get_running_loop().time() + LOAD_S
             await asyncio.gather(
