--- a/loadtool/_faults.py
+++ b/loadtool/_faults.py
@@ -74,11 +74,11 @@
         if fault in (Fault.KILL_INSTANCE, Fault.STOP_INSTANCE):
             await cluster.restart_instance(cluster.instances[scheduled_fault.victim])
         elif fault is Fault.FREEZE_INSTANCE:
-            cluster.instances[scheduled_fault.victim].process.thaw()
+            cluster.instances[scheduled_fault.victim].process.resume()
         elif fault in (Fault.KILL_ENGINE, Fault.KILL_PLAIN):
             await cluster.restart_target(cluster.targets[scheduled_fault.victim])
         elif fault is Fault.FREEZE_TARGET:
-            cluster.targets[scheduled_fault.victim].process.thaw()
+            cluster.targets[scheduled_fault.victim].process.resume()
         elif fault is Fault.PARTITION_ZONES:
             await self._set_partition(scheduled_fault, False)
         elif fault is Fault.PLATFORM_OUTAGE:
--- a/loadtool/_gateway_fleet.py
+++ b/loadtool/_gateway_fleet.py
@@ -231,7 +231,7 @@
         node.settings["bounds"]["budgetSlack"] += 1
         (self.folder / f"{name}.json").write_text(json.dumps(node.settings), "utf-8")
         if node.process is not None:
-            node.process.send(signal.SIGHUP)
+            node.process.send_signal(signal.SIGHUP)
 
     async def start_worker(
         self, name: str, service: str, zone: str, routed: bool = False, **fields: Any
--- a/loadtool/_processes.py
+++ b/loadtool/_processes.py
@@ -89,7 +89,7 @@
         """Whether the process has not ended, as far as the event loop knows."""
         return self.process.returncode is None
 
-    def send(self, signal_number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal if the process still runs.
 
         `Process.send_signal` of the library is not used: it first collects the exit status of a
@@ -102,16 +102,16 @@
     def freeze(self) -> None:
         """Suspend the process with SIGSTOP, which it cannot notice."""
         self.frozen = True
-        self.send(signal.SIGSTOP)
+        self.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the suspended process."""
         self.frozen = False
-        self.send(signal.SIGCONT)
+        self.send_signal(signal.SIGCONT)
 
     async def kill(self) -> None:
         """Kill the process and wait until it has ended."""
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         await self.process.wait()
 
     async def stop(self, timeout: float = STOP_TIMEOUT_S) -> int:
@@ -119,8 +119,8 @@
 
         It is killed if it has not ended after `timeout` seconds.
         """
-        self.thaw()
-        self.send(signal.SIGTERM)
+        self.resume()
+        self.send_signal(signal.SIGTERM)
         try:
             return await asyncio.wait_for(self.process.wait(), timeout)
         except TimeoutError:
@@ -189,5 +189,5 @@
         """Kill each process that still runs and wait until all have ended."""
         for managed in self.processes:
             if managed.running:
-                managed.send(signal.SIGKILL)
+                managed.send_signal(signal.SIGKILL)
         await asyncio.gather(*(managed.process.wait() for managed in self.processes))
--- a/loadtool/_soak_faults.py
+++ b/loadtool/_soak_faults.py
@@ -119,7 +119,7 @@
         elif scheduled_fault.fault is SoakFault.PAUSE:
             process.freeze()
             await self._sleep_until(scheduled_fault.until)
-            process.thaw()
+            process.resume()
         elif scheduled_fault.fault is SoakFault.RELOAD:
             fleet.reload(scheduled_fault.victim)
         elif scheduled_fault.fault is SoakFault.KILL:
@@ -174,7 +174,7 @@
         elif scheduled_fault.fault is SoakFault.TARGET_PAUSED:
             node.process.freeze()
             await self._sleep_until(scheduled_fault.until)
-            node.process.thaw()
+            node.process.resume()
         elif scheduled_fault.fault is SoakFault.TARGET_KILLED:
             await node.process.kill()
             await self._sleep_until(scheduled_fault.until)
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -157,7 +157,7 @@
                 await send_to_all_running_instances(cluster, caller, "k", answers_by_key["k"])
                 check_run_counts(cluster, answers_by_key)
                 return
-            first.process.thaw()
+            first.process.resume()
             answers_by_key["k"].append(await pending_answer)
             final_answer = await retry_until_outcome_known(caller, "k", answers_by_key["k"])
             assert final_answer.is_correct
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -66,7 +66,7 @@
                 takeover_s = await wait_until("the engine has a new owner", has_new_owner)
                 while time.monotonic() - fault_at < 5.0:
                     await asyncio.sleep(0.1)
-                owner.process.thaw()
+                owner.process.resume()
                 expected_good = load.good_count + 200
                 await wait_until("200 more", lambda: _has_good_answers(load, expected_good))
                 max_running = await read_max_running(cluster)
--- a/tests/fleet/test_stop.py
+++ b/tests/fleet/test_stop.py
@@ -32,7 +32,7 @@
     await cluster.register(replacement)
     await cluster.wait_until_instances_ready(replacement)
     stop_started_at = time.monotonic()
-    node.process.send(signal.SIGTERM)
+    node.process.send_signal(signal.SIGTERM)
     assert await wait_for_exit(node, 20.0) == 0
     stop_duration_s = time.monotonic() - stop_started_at
     del cluster.instances[node.id]
@@ -92,8 +92,8 @@
             caller = make_caller(cluster)
             long_answer = asyncio.create_task(caller.send_chat(chat, 500, address=node.address))
             await asyncio.sleep(0.3)
-            node.process.send(signal.SIGTERM)
-            node.process.send(signal.SIGTERM)
+            node.process.send_signal(signal.SIGTERM)
+            node.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
             assert await _look_up(reused, headers) == (200, "close")
             idle = await Connection.open(node.address, 2.0)
@@ -134,7 +134,7 @@
             async with run_mixed_load([caller], chats=4, commands=1) as load:
                 await asyncio.sleep(0.5)
                 stopped_at = time.time()
-                leaving.process.send(signal.SIGTERM)
+                leaving.process.send_signal(signal.SIGTERM)
                 assert await wait_for_exit(leaving, 10.0) == 0
                 await asyncio.sleep(0.5)
             assert not load.failed_answers, load.failed_answers[:3]
@@ -173,7 +173,7 @@
 
             pending_result = asyncio.create_task(asyncio.to_thread(send))
             await asyncio.sleep(0.2)
-            node.process.send(signal.SIGTERM)
+            node.process.send_signal(signal.SIGTERM)
             assert await pending_result == ("OutcomeUnknown" if fault == "outage" else "version 2")
             assert await wait_for_exit(node, 10.0) == 0
 
--- a/tests/gateway/test_commands.py
+++ b/tests/gateway/test_commands.py
@@ -173,7 +173,7 @@
             process = fleet.instances["front-0"].process
             assert process is not None
             while process.running:
-                process.send(signal.SIGTERM)
+                process.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.002)
             assert process.process.returncode == 0
 
@@ -279,7 +279,7 @@
             await asyncio.sleep(0.3)
             writer.close()
             await asyncio.sleep(0.1)
-            instance.process.thaw()
+            instance.process.resume()
             assert (await fleet.ask("/book/x", b"other")).status == 200
             stats = await fleet.read_all_stats("plain")
             assert "gone" not in {seen.id for s in stats.values() for seen in s.seen}
--- a/tests/gateway/test_readers.py
+++ b/tests/gateway/test_readers.py
@@ -124,7 +124,7 @@
             others = [name for name in fleet.instances if name != reader]
             await check_key_refused(fleet, others, MAX_APPLY_TIME_S)
             if fault == "freeze":
-                node.process.thaw()
+                node.process.resume()
 
     run(work)
 
--- a/tests/gateway/test_store.py
+++ b/tests/gateway/test_store.py
@@ -207,11 +207,11 @@
             path = tmp_path / "front-0.json"
             before = path.read_text("utf-8")
             path.write_text("{broken", "utf-8")
-            node.process.send(signal.SIGHUP)
+            node.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.2)
             assert (await fleet.ask("/read/x")).status == 200
             path.write_text(before.replace('"capFactor": 2', '"capFactor": 3'), "utf-8")
-            node.process.send(signal.SIGHUP)
+            node.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.2)
             lines = {line["event"]: line for line in fleet.read_log("front-0")}
             assert lines["settings_invalid"]["reason"]
--- a/tests/loadtool/test_processes.py
+++ b/tests/loadtool/test_processes.py
@@ -28,7 +28,7 @@
     child = subprocess.Popen([sys.executable, "-c", "raise SystemExit(7)"])
     os.waitid(os.P_PID, child.pid, os.WEXITED | os.WNOWAIT)
     ended_child: Any = EndedChild(child)
-    ManagedProcess("short", ended_child).send(signal.SIGTERM)
+    ManagedProcess("short", ended_child).send_signal(signal.SIGTERM)
     _, status = os.waitpid(child.pid, 0)
     child.returncode = os.waitstatus_to_exitcode(status)
     assert child.returncode == 7
