--- a/loadtool/_answer_log.py
+++ b/loadtool/_answer_log.py
@@ -69,22 +69,26 @@
         A command that was answered must have run exactly once, one whose final answer is "not run"
         must not have run, and none may run twice.
         """
-        broken = [
+        violations = [
             f"an answer was complete with status 200, but not the right one: {answer}"
             for answer in self.wrong_answers
         ]
         for key, count in runs.items():
             if count > 1:
-                broken.append(f"{key} ran {count} times, not once: {self._describe_answers(key)}")
+                violations.append(
+                    f"{key} ran {count} times, not once: {self._describe_answers(key)}"
+                )
         for key, record in self.commands.items():
             count = runs.get(key, 0)
             if record.was_answered and count != 1:
-                broken.append(
+                violations.append(
                     f"{key} was answered but ran {count} times: {self._describe_answers(key)}"
                 )
             elif record.is_final_not_run and count:
-                broken.append(f'{key} ran after a final "not run": {self._describe_answers(key)}')
-        return broken
+                violations.append(
+                    f'{key} ran after a final "not run": {self._describe_answers(key)}'
+                )
+        return violations
 
     def _describe_answers(self, key: str) -> str:
         record = self.commands.get(key)
--- a/loadtool/_chaos.py
+++ b/loadtool/_chaos.py
@@ -39,18 +39,18 @@
 class ChaosResult:
     """The result of a run.
 
-    `broken` has a line for each violated guarantee. `stop_seconds` has the duration of each planned
-    stop, `max_running` the most requests that ran at one target at the same time.
+    `violations` has a line for each violated guarantee. `stop_seconds` has the duration of each
+    planned stop, `max_running` the most requests that ran at one target at the same time.
     """
 
     seed: int
     answer_log: AnswerLog
-    broken: list[str]
+    violations: list[str]
     stop_seconds: list[float]
     max_running: int
 
 
-def make_layout() -> FleetLayout:
+def make_chaos_layout() -> FleetLayout:
     """Return the names of the zones and nodes of the deployment."""
     letters = [zone[-1] for zone in ZONES]
     return FleetLayout(
@@ -248,7 +248,7 @@
 
 async def run_chaos(seed: int, duration: float, folder: Path) -> ChaosResult:
     """Run the schedule of a seed and check every guarantee; `duration` is in seconds."""
-    layout = make_layout()
+    layout = make_chaos_layout()
     schedule = make_fault_schedule(seed, duration, layout)
     answer_log = AnswerLog()
     async with Cluster(folder, ZONES, use_proxies=True) as cluster:
@@ -304,17 +304,17 @@
     if result.stop_seconds:
         longest = max(result.stop_seconds)
         print(f"  {len(result.stop_seconds)} planned stops, the longest {longest:.1f} s")
-    for line in result.broken:
+    for line in result.violations:
         print(f"  BROKEN: {line}")
 
 
 def main(seed: int, duration: float) -> int:
     """Run one seed; return exit status 1 if a guarantee was violated, else 0."""
     print(f"chaos: seed {seed}, {duration:.0f} s")
-    for scheduled_fault in make_fault_schedule(seed, duration, make_layout()):
+    for scheduled_fault in make_fault_schedule(seed, duration, make_chaos_layout()):
         print(f"  {scheduled_fault}")
     with tempfile.TemporaryDirectory(prefix="rhubarbbend-chaos-") as name:
         result = asyncio.run(run_chaos(seed, duration, Path(name)))
     print_result(result)
-    print(f"chaos: seed {seed}: {len(result.broken)} promises broken")
-    return 1 if result.broken else 0
+    print(f"chaos: seed {seed}: {len(result.violations)} promises broken")
+    return 1 if result.violations else 0
--- a/tests/fleet/test_chaos.py
+++ b/tests/fleet/test_chaos.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from loadtool._chaos import make_layout, print_result, run_chaos
+from loadtool._chaos import make_chaos_layout, print_result, run_chaos
 from loadtool._fault_schedule import make_fault_schedule
 
 DURATION_S = 45.0
@@ -22,7 +22,7 @@
 
 
 def test_the_same_seed_gives_the_same_schedule() -> None:
-    layout = make_layout()
+    layout = make_chaos_layout()
     assert make_fault_schedule(7, DURATION_S, layout) == make_fault_schedule(7, DURATION_S, layout)
     assert make_fault_schedule(7, DURATION_S, layout) != make_fault_schedule(8, DURATION_S, layout)
 
@@ -31,6 +31,6 @@
 def test_guarantees_hold_under_random_faults(seed: int, tmp_path: Path) -> None:
     result = asyncio.run(run_chaos(seed, DURATION_S, tmp_path))
     print_result(result)
-    assert result.broken == []
+    assert result.violations == []
     # The run is meaningful only if callers got most of their answers in spite of the faults.
     assert result.answer_log.good_count > 0.8 * result.answer_log.requests
