--- a/loadtool/_answer_log.py
+++ b/loadtool/_answer_log.py
@@ -36,7 +36,7 @@
 class AnswerLog:
     """Counts and keeps the answers of a run.
 
-    Each answer counts as good, wrong, refused (by code) or failed (by reason).
+    Each answer counts as correct, incorrect, refused (by code) or failed (by reason).
     """
 
     commands: dict[str, CommandRecord] = attrs.Factory(dict)
--- a/loadtool/_soak.py
+++ b/loadtool/_soak.py
@@ -86,7 +86,7 @@
         except (HttpFailure, TimeoutError):
             connection.close()
         outcome.ended_at = time.time()
-        if outcome.whole and connection.make_reusable():
+        if outcome.complete and connection.make_reusable():
             self._connection = connection
         else:
             connection.close()
@@ -134,7 +134,7 @@
         outcome.sealed = "response-seal" in response.headers
         async for part in connection.receive_body(CALLER_TIMEOUT_S):
             outcome.answer += part
-        outcome.whole = True
+        outcome.complete = True
 
 
 async def _probe_readiness(fleet: GatewayFleet, ready: set[str]) -> None:
@@ -214,7 +214,7 @@
         for name in fleet.instances:
             for kind in sorted(set(REQUEST_KINDS)):
                 outcome = await caller.send_request(name, kind)
-                if outcome.status != 200 or not outcome.whole:
+                if outcome.status != 200 or not outcome.complete:
                     failed.append(f"{kind} at {name}: {outcome.status}")
         if not failed:
             return []
--- a/loadtool/_soak_checks.py
+++ b/loadtool/_soak_checks.py
@@ -37,7 +37,7 @@
     """A request of a caller and the response to it; times are Unix times.
 
     `status` is 0 if no complete response head was received, `sealed` is set if the response has the
-    seal of a target, and `whole` is set if it was received to its end.
+    seal of a target, and `complete` is set if it was received to its end.
     """
 
     id: str
@@ -50,7 +50,7 @@
     ended_at: float = 0.0
     status: int = 0
     sealed: bool = False
-    whole: bool = False
+    complete: bool = False
     answer: bytes = b""
 
 
@@ -132,7 +132,7 @@
 
 def _check_answer(outcome: RequestOutcome) -> Iterable[str]:
     """Check that a complete success was produced by a target and answers this request."""
-    if not 200 <= outcome.status < 300 or not outcome.whole:
+    if not 200 <= outcome.status < 300 or not outcome.complete:
         return
     expected = make_response_body(outcome.body, outcome.path)
     if outcome.path.endswith("stream"):
@@ -214,7 +214,7 @@
 
     A request that another fault may have interrupted is not checked.
     """
-    if outcome.whole or not runs:
+    if outcome.complete or not runs:
         return
     for period, _ in record.stops:
         if period.name != outcome.instance:
@@ -257,6 +257,6 @@
 def count_outcomes(outcomes: list[RequestOutcome]) -> Counter[str]:
     """Return the number of requests by kind and response status."""
     return Counter(
-        f"{outcome.kind} {outcome.status if outcome.whole else 'no whole answer'}"
+        f"{outcome.kind} {outcome.status if outcome.complete else 'no whole answer'}"
         for outcome in outcomes
     )
--- a/tests/loadtool/test_soak.py
+++ b/tests/loadtool/test_soak.py
@@ -31,7 +31,7 @@
 
 def make_outcome(**changes: object) -> RequestOutcome:
     outcome = RequestOutcome("r1", "book", "front-0", "key", PATH, BODY, 110.0, 110.1)
-    outcome.status, outcome.sealed, outcome.whole = 200, True, True
+    outcome.status, outcome.sealed, outcome.complete = 200, True, True
     outcome.answer = make_response_body(BODY, PATH)
     for name, value in changes.items():
         setattr(outcome, name, value)
@@ -64,7 +64,7 @@
         ("zone", {}, [make_arrival()], {"zones_out": [Period("zone-a", 104.0)]}),
         (
             "lost",
-            {"whole": False, "status": 0},
+            {"complete": False, "status": 0},
             [make_arrival()],
             {"stops": [(Period("front-0", 109.0, 112.0), 0)]},
         ),
@@ -120,6 +120,6 @@
     result = asyncio.run(run_soak(seed, DURATION, INSTANCE_COUNT, tmp_path, peer_path_faults))
     print(format_result(result))
     assert result.violations == []
-    served = sum(outcome.status == 200 and outcome.whole for outcome in result.record.outcomes)
+    served = sum(outcome.status == 200 and outcome.complete for outcome in result.record.outcomes)
     # Guards against an empty run: callers got answers to most requests while faults were active.
     assert served > 0.7 * len(result.record.outcomes)
