--- a/loadtool/_answer_log.py
+++ b/loadtool/_answer_log.py
@@ -24,7 +24,7 @@
     @property
     def was_answered(self) -> bool:
         """Whether a caller got a complete, right answer."""
-        return any(answer.good for answer in self.answers)
+        return any(answer.is_correct for answer in self.answers)
 
     @property
     def is_final_not_run(self) -> bool:
@@ -36,7 +36,7 @@
 class AnswerLog:
     """Counts and keeps the answers of a run.
 
-    Each answer counts as good, wrong, refused (by code) or failed (by reason).
+    Each answer counts as correct, incorrect, refused (by code) or failed (by reason).
     """
 
     commands: dict[str, CommandRecord] = attrs.Factory(dict)
@@ -49,9 +49,9 @@
     def record_answer(self, answer: Answer) -> None:
         """Record an answer."""
         self.requests += 1
-        if answer.good:
+        if answer.is_correct:
             self.good_count += 1
-        elif answer.wrong:
+        elif answer.is_incorrect:
             self.wrong_answers.append(answer)
         elif answer.code:
             self.refusals[answer.code] += 1
@@ -69,22 +69,26 @@
         A command that was answered must have run exactly once, one whose final answer is "not run"
         must not have run, and none may run twice.
         """
-        broken = [
+        violations = [
             f"an answer was complete with status 200, but not the right one: {answer}"
             for answer in self.wrong_answers
         ]
         for key, count in runs.items():
             if count > 1:
-                broken.append(f"{key} ran {count} times, not once: {self._describe_answers(key)}")
+                violations.append(
+                    f"{key} ran {count} times, not once: {self._describe_answers(key)}"
+                )
         for key, record in self.commands.items():
             count = runs.get(key, 0)
             if record.was_answered and count != 1:
-                broken.append(
+                violations.append(
                     f"{key} was answered but ran {count} times: {self._describe_answers(key)}"
                 )
             elif record.is_final_not_run and count:
-                broken.append(f'{key} ran after a final "not run": {self._describe_answers(key)}')
-        return broken
+                violations.append(
+                    f'{key} ran after a final "not run": {self._describe_answers(key)}'
+                )
+        return violations
 
     def _describe_answers(self, key: str) -> str:
         record = self.commands.get(key)
--- a/loadtool/_chaos.py
+++ b/loadtool/_chaos.py
@@ -39,18 +39,18 @@
 class ChaosResult:
     """The result of a run.
 
-    `broken` has a line for each violated guarantee. `stop_seconds` has the duration of each planned
-    stop, `max_running` the most requests that ran at one target at the same time.
+    `violations` has a line for each violated guarantee. `stop_seconds` has the duration of each
+    planned stop, `max_running` the most requests that ran at one target at the same time.
     """
 
     seed: int
     answer_log: AnswerLog
-    broken: list[str]
+    violations: list[str]
     stop_seconds: list[float]
     max_running: int
 
 
-def make_layout() -> FleetLayout:
+def make_chaos_layout() -> FleetLayout:
     """Return the names of the zones and nodes of the deployment."""
     letters = [zone[-1] for zone in ZONES]
     return FleetLayout(
@@ -72,12 +72,12 @@
             cluster.start_engine(name, zone_by_letter[name[-2]], "planner", *ENGINE_OPTIONS)
         )
     for name in layout.plain_services:
-        start_calls.append(cluster.start_plain(name, zone_by_letter[name[-2]], "booking"))
+        start_calls.append(cluster.start_plain_service(name, zone_by_letter[name[-2]], "booking"))
     await asyncio.gather(*start_calls)
     await cluster.register()
-    await cluster.wait_ready()
-    await cluster.apply(ROOT / "examples" / "tengri")
-    await cluster.wait_targets()
+    await cluster.wait_until_instances_ready()
+    await cluster.apply_declarations(ROOT / "examples" / "tengri")
+    await cluster.wait_until_targets_ready()
 
 
 class ChaosLoad:
@@ -103,11 +103,13 @@
         chats = [Chat(f"chat-{worker}-{i}", "camp-large") for i in range(4)]
         while time.monotonic() < until:
             chat = rng.choice(chats)
-            chat.ask(f"{chat.id} turn {chat.turns}: " + "tent ghat ration " * rng.randrange(5, 60))
+            chat.add_user_message(
+                f"{chat.id} turn {chat.turns}: " + "tent ghat ration " * rng.randrange(5, 60)
+            )
             stream = rng.random() < 0.8
-            answer = await self.chats.ask_chat(chat, rng.randrange(4, 60), stream, deadline=15.0)
+            answer = await self.chats.send_chat(chat, rng.randrange(4, 60), stream, deadline=15.0)
             self._answer_log.record_answer(answer)
-            if not answer.good:
+            if not answer.is_correct:
                 chat.messages.pop()
                 chat.ticket = "" if rng.random() < 0.2 else chat.ticket
             await asyncio.sleep(rng.uniform(0.02, 0.2))
@@ -134,7 +136,7 @@
             # Half of the commands with the verdict "not run" are not sent again, so that this
             # verdict stays final and can be checked.
             given_up = answer.verdict == "not_run" and rng.random() < 0.5
-            if answer.good or given_up:
+            if answer.is_correct or given_up:
                 return
             await asyncio.sleep(max(answer.retry_after, 0.2))
 
@@ -171,7 +173,7 @@
     async def _check_target(self, name: str) -> None:
         node = self._cluster.targets[name]
         try:
-            stats = await self._cluster.ask_admin(node, "stats")
+            stats = await self._cluster.call_admin(node, "stats")
         except HttpFailure:
             return
         self.max_running = max(self.max_running, stats["running"])
@@ -214,8 +216,8 @@
 
 async def _check_recovery(cluster: Cluster, load: ChaosLoad) -> list[str]:
     """Check that all requests are answered some seconds after the last fault has ended."""
-    await cluster.wait_ready()
-    await cluster.wait_targets()
+    await cluster.wait_until_instances_ready()
+    await cluster.wait_until_targets_ready()
     deadline = time.monotonic() + RECOVERY_TIMEOUT_S
     failed: list[Answer] = []
     while time.monotonic() < deadline:
@@ -234,22 +236,22 @@
     answers: list[Answer] = []
     for number in range(RECOVERY_REQUESTS // 3):
         chat = Chat(f"recovery-{number}", "camp-large")
-        chat.ask("is the plot free?")
+        chat.add_user_message("is the plot free?")
         unique_suffix = time.time_ns()
         answers += await asyncio.gather(
-            load.chats.ask_chat(chat, 4),
+            load.chats.send_chat(chat, 4),
             load.commands.send_command("/booking/bookings", f"recovery-{unique_suffix}", b"{}"),
             load.commands.look_up(f"/booking/plots/{number}"),
         )
-    return [answer for answer in answers if not answer.good]
+    return [answer for answer in answers if not answer.is_correct]
 
 
 async def run_chaos(seed: int, duration: float, folder: Path) -> ChaosResult:
     """Run the schedule of a seed and check every guarantee; `duration` is in seconds."""
-    layout = make_layout()
+    layout = make_chaos_layout()
     schedule = make_fault_schedule(seed, duration, layout)
     answer_log = AnswerLog()
-    async with Cluster(folder, ZONES, proxied=True) as cluster:
+    async with Cluster(folder, ZONES, use_proxies=True) as cluster:
         await _start_cluster(cluster, layout)
         return await _run_schedule(cluster, seed, duration, schedule, answer_log)
 
@@ -281,7 +283,7 @@
             for status in faults.stop_statuses
             if status != 0
         ]
-    violations += answer_log.find_violations(cluster.read_runs())
+    violations += answer_log.find_violations(cluster.count_runs_by_key())
     return ChaosResult(seed, answer_log, violations, faults.stop_seconds, monitor.max_running)
 
 
@@ -302,17 +304,17 @@
     if result.stop_seconds:
         longest = max(result.stop_seconds)
         print(f"  {len(result.stop_seconds)} planned stops, the longest {longest:.1f} s")
-    for line in result.broken:
+    for line in result.violations:
         print(f"  BROKEN: {line}")
 
 
 def main(seed: int, duration: float) -> int:
     """Run one seed; return exit status 1 if a guarantee was violated, else 0."""
     print(f"chaos: seed {seed}, {duration:.0f} s")
-    for scheduled_fault in make_fault_schedule(seed, duration, make_layout()):
+    for scheduled_fault in make_fault_schedule(seed, duration, make_chaos_layout()):
         print(f"  {scheduled_fault}")
     with tempfile.TemporaryDirectory(prefix="rhubarbbend-chaos-") as name:
         result = asyncio.run(run_chaos(seed, duration, Path(name)))
     print_result(result)
-    print(f"chaos: seed {seed}: {len(result.broken)} promises broken")
-    return 1 if result.broken else 0
+    print(f"chaos: seed {seed}: {len(result.violations)} promises broken")
+    return 1 if result.violations else 0
--- a/loadtool/_demo.py
+++ b/loadtool/_demo.py
@@ -42,9 +42,9 @@
     def record_answer(self, answer: Answer) -> None:
         """Record one answer."""
         self.requests += 1
-        self.whole += answer.good
-        self.wrong += answer.wrong
-        if answer.good:
+        self.whole += answer.is_correct
+        self.wrong += answer.is_incorrect
+        if answer.is_correct:
             self.first_byte_times.append(answer.first_byte)
             self.prompt_tokens += answer.prompt_tokens
             self.cached_tokens += answer.cached_tokens
@@ -60,12 +60,12 @@
     for number, zone in enumerate(ZONES * 2):
         starts.append(cluster.start_instance(f"entry-{number + 1}", zone))
         starts.append(cluster.start_engine(f"engine-{number + 1}", zone, "planner"))
-    starts.extend(cluster.start_plain(f"booking-{z}", z, "booking") for z in ZONES)
+    starts.extend(cluster.start_plain_service(f"booking-{z}", z, "booking") for z in ZONES)
     await asyncio.gather(*starts)
     await cluster.register()
-    await cluster.wait_ready()
-    await cluster.apply(ROOT / "examples" / "tengri")
-    await cluster.wait_targets()
+    await cluster.wait_until_instances_ready()
+    await cluster.apply_declarations(ROOT / "examples" / "tengri")
+    await cluster.wait_until_targets_ready()
 
 
 async def _run_chats(stats: AnswerStats, caller: Caller, seed: int, until: float) -> None:
@@ -74,12 +74,14 @@
     while time.monotonic() < until:
         chat = rng.choice(chats)
         if not chat.messages:
-            chat.ask(f"group {chat.id} history: " + "tent ghat ration " * rng.randrange(20, 200))
+            chat.add_user_message(
+                f"group {chat.id} history: " + "tent ghat ration " * rng.randrange(20, 200)
+            )
         else:
-            chat.ask(f"and what of day {chat.turns}?")
-        answer = await caller.ask_chat(chat, rng.randrange(4, 40), stream=rng.random() < 0.8)
+            chat.add_user_message(f"and what of day {chat.turns}?")
+        answer = await caller.send_chat(chat, rng.randrange(4, 40), stream=rng.random() < 0.8)
         stats.record_answer(answer)
-        if not answer.good:
+        if not answer.is_correct:
             chat.messages.pop()
         await asyncio.sleep(rng.uniform(0.05, 0.4))
 
@@ -151,7 +153,7 @@
     until = time.monotonic() + DURATION_S
     work = [_run_chats(stats, chats, SEED + i, until) for i in range(CHAT_WORKERS)]
     await asyncio.gather(*work, _run_bookings(stats, bookings, until), _show_progress(stats, until))
-    runs = cluster.read_runs()
+    runs = cluster.count_runs_by_key()
     run_twice = sum(count > 1 for count in runs.values())
     _print_table(stats, runs)
     print(
--- a/loadtool/_relay_cost.py
+++ b/loadtool/_relay_cost.py
@@ -49,9 +49,9 @@
             options = ("--slots", str(MAX_CONCURRENT_STREAMS), "--token-time", TOKEN_TIME_S)
             await cluster.start_engine("engine-1", zone, TENGRI.engine_service, *options)
             await cluster.register()
-            await cluster.wait_ready()
-            await cluster.apply(TENGRI.declarations)
-            await cluster.wait_targets()
+            await cluster.wait_until_instances_ready()
+            await cluster.apply_declarations(TENGRI.declarations)
+            await cluster.wait_until_targets_ready()
             # The first requests are not measured: they warm up the code of the instance and let the
             # limit of the engine rise.
             await _run_streams(instance, "warm", SHORT_ANSWER_WORDS)
@@ -69,9 +69,9 @@
     async def run_one(number: int) -> None:
         async with semaphore:
             chat = Chat(f"{name}-{number}", TENGRI.model)
-            chat.ask(f"tell me of plot {number}")
-            answer = await caller.ask_chat(chat, answer_words)
-            if not answer.good:
+            chat.add_user_message(f"tell me of plot {number}")
+            answer = await caller.send_chat(chat, answer_words)
+            if not answer.is_correct:
                 raise RuntimeError(
                     f"stream failed: status {answer.status}, code {answer.code}, {answer.failure}"
                 )
--- a/loadtool/_soak_checks.py
+++ b/loadtool/_soak_checks.py
@@ -12,7 +12,7 @@
 import attrs
 
 from loadtool._soak_schedule import FaultScope, ScheduledSoakFault, SoakFault
-from standins._worker import Arrival, make_body, make_event
+from standins._worker import Arrival, make_response_body, make_stream_event
 
 # The shortest limits among the known deployments: after this time a change of configuration is in
 # force, and a draining target or the targets of an evacuated zone get no more requests.
@@ -37,7 +37,7 @@
     """A request of a caller and the response to it; times are Unix times.
 
     `status` is 0 if no complete response head was received, `sealed` is set if the response has the
-    seal of a target, and `whole` is set if it was received to its end.
+    seal of a target, and `complete` is set if it was received to its end.
     """
 
     id: str
@@ -50,7 +50,7 @@
     ended_at: float = 0.0
     status: int = 0
     sealed: bool = False
-    whole: bool = False
+    complete: bool = False
     answer: bytes = b""
 
 
@@ -132,11 +132,13 @@
 
 def _check_answer(outcome: RequestOutcome) -> Iterable[str]:
     """Check that a complete success was produced by a target and answers this request."""
-    if not 200 <= outcome.status < 300 or not outcome.whole:
+    if not 200 <= outcome.status < 300 or not outcome.complete:
         return
-    expected = make_body(outcome.body, outcome.path)
+    expected = make_response_body(outcome.body, outcome.path)
     if outcome.path.endswith("stream"):
-        expected = b"".join(make_event(outcome.body, n) for n in range(1, STREAM_EVENT_COUNT + 1))
+        expected = b"".join(
+            make_stream_event(outcome.body, n) for n in range(1, STREAM_EVENT_COUNT + 1)
+        )
     if not outcome.sealed or outcome.answer != expected:
         yield f"mixed: {outcome.id} ({outcome.kind}) got the wrong answer {outcome.answer[:80]!r}"
 
@@ -212,7 +214,7 @@
 
     A request that another fault may have interrupted is not checked.
     """
-    if outcome.whole or not runs:
+    if outcome.complete or not runs:
         return
     for period, _ in record.stops:
         if period.name != outcome.instance:
@@ -255,6 +257,6 @@
 def count_outcomes(outcomes: list[RequestOutcome]) -> Counter[str]:
     """Return the number of requests by kind and response status."""
     return Counter(
-        f"{outcome.kind} {outcome.status if outcome.whole else 'no whole answer'}"
+        f"{outcome.kind} {outcome.status if outcome.complete else 'no whole answer'}"
         for outcome in outcomes
     )
--- a/tests/fleet/load_helpers.py
+++ b/tests/fleet/load_helpers.py
@@ -26,13 +26,13 @@
     @property
     def good_count(self) -> int:
         """Number of answers that are complete and correct."""
-        return sum(answer.good for answer in self.answers)
+        return sum(answer.is_correct for answer in self.answers)
 
     def count_failures(self) -> dict[str, int]:
         """Count the failed answers by refusal code, or by failure if there is no code."""
         counts: dict[str, int] = {}
         for answer in self.answers:
-            if not answer.good:
+            if not answer.is_correct:
                 reason = answer.code or answer.failure or "cut"
                 counts[reason] = counts.get(reason, 0) + 1
         return counts
@@ -52,10 +52,10 @@
     """
     while True:
         chat = Chat(chat_id, MODEL)
-        chat.ask("which plots are free by the ghat?")
-        answer = await caller.ask_chat(chat, max_tokens, address=address, deadline=deadline)
+        chat.add_user_message("which plots are free by the ghat?")
+        answer = await caller.send_chat(chat, max_tokens, address=address, deadline=deadline)
         results.answers.append(answer)
-        if not answer.good:
+        if not answer.is_correct:
             await asyncio.sleep(0.05)
 
 
@@ -99,12 +99,12 @@
 async def reset_max_running(cluster: Cluster) -> None:
     """Reset the maximum of concurrent requests that each engine has recorded."""
     for node in list_engines(cluster):
-        await cluster.ask_admin(node, "reset_max")
+        await cluster.call_admin(node, "reset_max")
 
 
 async def read_engine_stats(cluster: Cluster, node: Node) -> dict[str, int]:
     """Return the statistics that an engine reports."""
-    stats: dict[str, int] = await cluster.ask_admin(node, "stats")
+    stats: dict[str, int] = await cluster.call_admin(node, "stats")
     return stats
 
 
--- a/tests/fleet/test_stop.py
+++ b/tests/fleet/test_stop.py
@@ -30,9 +30,9 @@
     """Start a replacement of an instance, stop the old one and return the stop's seconds."""
     replacement = await cluster.start_instance(f"{node.id}-new", node.zone)
     await cluster.register(replacement)
-    await cluster.wait_ready(replacement)
+    await cluster.wait_until_instances_ready(replacement)
     stop_started_at = time.monotonic()
-    node.process.send(signal.SIGTERM)
+    node.process.send_signal(signal.SIGTERM)
     assert await wait_for_exit(node, 20.0) == 0
     stop_duration_s = time.monotonic() - stop_started_at
     del cluster.instances[node.id]
@@ -61,7 +61,7 @@
                         stop_durations.append(await replace_instance(cluster, node))
                 await long_chats
             assert not load.failed_answers, load.failed_answers[:3]
-            runs = cluster.read_runs()
+            runs = cluster.count_runs_by_key()
             assert set(runs.values()) == {1}
             longest_s = max(stop_durations)
             assert longest_s < BALANCER_LAG_S + 6.0
@@ -88,21 +88,23 @@
             reused = await Connection.open(node.address, 2.0)
             assert (await _look_up(reused, headers))[1] != "close"
             chat = Chat("long", "camp-large")
-            chat.ask("everything about every plot")
+            chat.add_user_message("everything about every plot")
             caller = make_caller(cluster)
-            long_answer = asyncio.create_task(caller.ask_chat(chat, 500, address=node.address))
+            long_answer = asyncio.create_task(caller.send_chat(chat, 500, address=node.address))
             await asyncio.sleep(0.3)
-            node.process.send(signal.SIGTERM)
-            node.process.send(signal.SIGTERM)
+            node.process.send_signal(signal.SIGTERM)
+            node.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
             assert await _look_up(reused, headers) == (200, "close")
             idle = await Connection.open(node.address, 2.0)
             await asyncio.sleep(BALANCER_LAG_S)
             # The listening socket is closed by now; this idle connection is still read.
             assert await _look_up(idle, headers) == (200, "close")
-            assert (await long_answer).good
+            assert (await long_answer).is_correct
             assert await wait_for_exit(node, 15.0) == 0
-            assert (await make_caller(cluster).look_up("/booking/plots/1", other.address)).good
+            assert (
+                await make_caller(cluster).look_up("/booking/plots/1", other.address)
+            ).is_correct
 
     run_with_timeout(work)
 
@@ -132,12 +134,12 @@
             async with run_mixed_load([caller], chats=4, commands=1) as load:
                 await asyncio.sleep(0.5)
                 stopped_at = time.time()
-                leaving.process.send(signal.SIGTERM)
+                leaving.process.send_signal(signal.SIGTERM)
                 assert await wait_for_exit(leaving, 10.0) == 0
                 await asyncio.sleep(0.5)
             assert not load.failed_answers, load.failed_answers[:3]
             engine = next(t for t in cluster.targets.values() if t.id == "engine-b1")
-            last_request_at = (await cluster.ask_admin(engine, "stats"))["last_request"]
+            last_request_at = (await cluster.call_admin(engine, "stats"))["last_request"]
             assert (
                 last_request_at > stopped_at + BALANCER_LAG_S
             ), "the engine got no request after the handover"
@@ -171,7 +173,7 @@
 
             pending_result = asyncio.create_task(asyncio.to_thread(send))
             await asyncio.sleep(0.2)
-            node.process.send(signal.SIGTERM)
+            node.process.send_signal(signal.SIGTERM)
             assert await pending_result == ("OutcomeUnknown" if fault == "outage" else "version 2")
             assert await wait_for_exit(node, 10.0) == 0
 
--- a/tests/trace/test_fleet.py
+++ b/tests/trace/test_fleet.py
@@ -24,9 +24,9 @@
     rng = random.Random(number)
     chat = Chat(f"chat-{number}", "camp-large")
     while asyncio.get_running_loop().time() < until:
-        chat.ask(PROMPT * rng.randrange(1, 60))
-        answer = await caller.ask_chat(chat, rng.randrange(2, 12), stream=True)
-        if not answer.good:
+        chat.add_user_message(PROMPT * rng.randrange(1, 60))
+        answer = await caller.send_chat(chat, rng.randrange(2, 12), stream=True)
+        if not answer.is_correct:
             chat.messages.pop()
 
 
@@ -73,7 +73,7 @@
     names = ["entry-a1", "entry-a2", "entry-b1", "entry-b2"]
 
     async def work() -> None:
-        async with start_fleet(tmp_path, instances=2, engines=2, record=True) as cluster:
+        async with start_fleet(tmp_path, instances=2, engines=2, record_traces=True) as cluster:
             caller = make_caller(cluster)
             until = asyncio.get_running_loop().time() + LOAD_S
             await asyncio.gather(
